--- a/baobabgap/agent/__init__.py
+++ b/baobabgap/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent: the process beside one upstream, only judge of its starts."""
+"""The agent process, which starts all tasks on one upstream."""
 
 from baobabgap.agent._agent import Agent
 
--- a/baobabgap/agent/_agent.py
+++ b/baobabgap/agent/_agent.py
@@ -1,4 +1,4 @@
-"""The process beside one upstream."""
+"""The agent process that serves one upstream."""
 
 from concurrent.futures import ThreadPoolExecutor
 import threading
@@ -39,18 +39,19 @@
 _HTTP_READ_TIMEOUT_S: Final = 1
 _LARGEST_BODY_BYTES: Final = 64 * 1024
 _TICK_S: Final = 0.25
-# Seconds between load reports, for the policy that needs them.
+# Seconds between load reports, for the policy that requires them.
 _LOAD_REPORT_S: Final = 0.1
 # Seconds that a planned stop waits for tasks to end and for entries to
 # acknowledge their results.
 _DRAIN_LIMIT_S: Final = 30.0
-# Seconds after which it no longer waits for entries without a link.
+# Seconds of a planned stop after which results of entries without a link
+# are no longer waited for.
 _UNLINKED_LIMIT_S: Final = 5.0
-_DRAIN_PAUSE_S: Final = 0.02
+_DRAIN_POLL_S: Final = 0.02
 
 
 class Agent:
-    """Serves one upstream to all entries; the only judge of starts there.
+    """Serves one upstream to all entries and decides which tasks start.
 
     An example::
 
@@ -86,7 +87,7 @@
             self._scheduler,
             self._refresh_offer,
         )
-        self.directory: Final = EntryDirectory(self._follow_directory)
+        self.directory: Final = EntryDirectory(self._update_dialers)
         self._control = ControlClient.from_settings(
             settings,
             'agent',
@@ -98,7 +99,7 @@
         )
         self._upstream = UpstreamState(health, self._monitor, self.directory)
         self._application = AgentApplication(
-            self._take_announcement,
+            self._handle_announcement,
             lambda: self._scheduler.offer,
             self.metrics,
         )
@@ -126,7 +127,7 @@
         return self._server.port
 
     def start(self) -> None:
-        """Wait for the upstream's announcement, and dial the entries."""
+        """Accept the upstream's announcement and dial the entries."""
         self._pool.submit(self._batch_log.run)
         self._server.start(self._pool)
         self._control.start()
@@ -134,7 +135,7 @@
         self._pool.submit(self._tick_loop)
 
     def stop(self) -> None:
-        """Take no new tasks, let running ones end, and stop."""
+        """Refuse new tasks, wait for running ones to end, and stop."""
         if self._is_stopping.is_set():
             self._is_stopped.wait()
             return
@@ -152,7 +153,7 @@
         self._pool.shutdown(wait=True)
 
     def kill(self) -> None:
-        """Stop without a word, as if the process had died."""
+        """Stop without draining or notifying peers, as a crash would."""
         self._is_stopping.set()
         self._is_stopped.set()
         self._stop_dialers()
@@ -171,46 +172,48 @@
             dialer.stop()
 
     def _drain(self) -> None:
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         while True:
-            waited_s = time.monotonic() - began_at
-            left = self._scheduler.count_outstanding(
+            waited_s = time.monotonic() - started_at
+            outstanding = self._scheduler.count_outstanding(
                 with_unlinked=waited_s < _UNLINKED_LIMIT_S
             )
-            if not left:
+            if not outstanding:
                 return
             if waited_s > _DRAIN_LIMIT_S:
-                log_event('agent:drain_given_up', tasks=left)
+                log_event('agent:drain_given_up', tasks=outstanding)
                 return
-            time.sleep(_DRAIN_PAUSE_S)
+            time.sleep(_DRAIN_POLL_S)
 
-    def _take_announcement(self, announcement: Announcement) -> dict[str, Any]:
+    def _handle_announcement(
+        self, announcement: Announcement
+    ) -> dict[str, Any]:
         answer = self._upstream.announce(announcement)
         self._refresh_offer()
         return answer
 
     def _refresh_offer(self) -> None:
-        """Tell the entries at once if the offer has changed."""
+        """Send the current offer to the entries if it has changed."""
         self._scheduler.set_offer(self._upstream.offer())
 
-    def _follow_directory(self) -> None:
-        """Dial entries that are new, and drop those that are gone.
+    def _update_dialers(self) -> None:
+        """Dial new entries, and stop dialing entries that are gone.
 
-        The control group may take an entry for dead that only it can't
-        hear; as long as the link to that entry works, the link counts.
+        The control group may report an entry as dead that only the group
+        can't reach, so a dialer with a working link is kept.
         """
-        wanted = self.directory.entry_addresses()
+        addresses = self.directory.entry_addresses()
         with self._dialer_lock:
             if self._is_stopping.is_set():
                 return
-            for address in wanted - self._dialer_by_address.keys():
+            for address in addresses - self._dialer_by_address.keys():
                 self._dialer_by_address[address] = self._dial(address)
-            for address in self._dialer_by_address.keys() - wanted:
+            for address in self._dialer_by_address.keys() - addresses:
                 if not self._dialer_by_address[address].is_connected:
                     self._dialer_by_address.pop(address).stop()
 
     def _dial(self, address: str) -> Dialer:
-        own = Hello(
+        hello = Hello(
             self._settings.name,
             'agent',
             self.incarnation,
@@ -219,7 +222,7 @@
         links = self._settings.links
         dialer = Dialer(
             address,
-            own,
+            hello,
             LinkTiming(links.heartbeat_s, links.silence_s),
             self._pool,
             self._serve_entry,
@@ -232,7 +235,7 @@
         """Handle one link to an entry until it is lost."""
         if connection.peer.role != 'entry':
             raise ProtocolMismatch(
-                f'{connection.peer.role} in place of an entry',
+                f'expected role entry, got {connection.peer.role}',
                 step='hello',
                 peer=connection.peer.name,
             )
@@ -252,7 +255,7 @@
                     case _:
                         self._note_unexpected(message)
         finally:
-            scheduler.lose_link(connection)
+            scheduler.remove_link(connection)
 
     def _tick_loop(self) -> None:
         pause_s = _TICK_S
@@ -264,15 +267,15 @@
                 if reports_load:
                     self._scheduler.report_load()
             except Exception as error:
-                # Without this task nothing would ever be due again.
+                # If this loop ended, no periodic work would run again.
                 log_event('agent:tick_failed', why=repr(error))
 
     def _tick(self) -> None:
         if self._control.is_superseded:
-            # Another process has this agent's name: it serves now.
+            # Another process has taken over this agent's name and serves.
             self._stop_dialers()
         else:
-            self._follow_directory()
+            self._update_dialers()
         self._refresh_offer()
         self._scheduler.tick()
 
--- a/baobabgap/agent/_announcement.py
+++ b/baobabgap/agent/_announcement.py
@@ -1,4 +1,4 @@
-"""How an upstream announces itself to its agent."""
+"""Announcements that an upstream sends to its agent."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -20,19 +20,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What the upstream used a while ago."""
+    """Resource usage of the upstream, as of `lag_s` seconds ago."""
 
     __pydantic_config__ = _STRICT
 
-    # Tasks that ran.
+    # Number of running tasks.
     running: Annotated[int, Field(ge=0)] = 0
-    # How old this report is, in seconds.
+    # Age of this report, in seconds.
     lag_s: Annotated[float, Field(ge=0)] = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What an upstream says of itself about every second."""
+    """State that an upstream reports about once a second."""
 
     __pydantic_config__ = _STRICT
 
@@ -40,17 +40,17 @@
     name: Name
     # Different at each start of the upstream.
     incarnation: Annotated[str, Field(min_length=1, max_length=80)]
-    # Where it serves the agent, as host:port.
+    # Address at which it serves the agent, as host:port.
     address: Address
-    # How many tasks it runs at once.
+    # Maximum number of tasks that run at once.
     slots: Annotated[int, Field(ge=1, le=1024, strict=True)]
-    # All that tasks may use together, and the largest task.
+    # Total resources of all running tasks, and the largest task size.
     capacity: TaskSize
-    # The rack that it stands in.
+    # Name of its rack.
     rack: str = ''
-    # What it used a while ago.
+    # Recent resource usage.
     usage: Usage = Usage()
-    # Whether it is about to leave and takes no new tasks.
+    # Whether it is about to stop and accepts no new tasks.
     leaving: bool = False
 
     @classmethod
@@ -60,9 +60,9 @@
             return _ANNOUNCEMENT.validate_json(body)
         except ValidationError as error:
             detail = error.errors(include_url=False, include_input=False)[0]
-            place = '.'.join(str(part) for part in detail['loc']) or 'body'
+            location = '.'.join(str(part) for part in detail['loc']) or 'body'
             raise InvalidInput(
-                f'{place}: {detail["msg"]}', step='announce'
+                f'{location}: {detail["msg"]}', step='announce'
             ) from error
 
 
--- a/baobabgap/agent/_application.py
+++ b/baobabgap/agent/_application.py
@@ -17,10 +17,11 @@
 
 
 class AgentApplication:
-    """Answers the upstream, the balancer and the operators.
+    """WSGI application for the upstream, the balancer and operators.
 
-    `announce` takes a valid announcement and returns the JSON document of
-    its answer; it raises `InvalidInput` if another upstream is served.
+    `announce` handles a valid announcement and returns the JSON document
+    of the answer; it raises `InvalidInput` if the agent serves another
+    upstream.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
     def _respond(self, request: Request) -> Response:
         match request.method, request.path:
             case 'POST', '/v1/upstream/announce':
-                return self._take_announcement(request)
+                return self._handle_announcement(request)
             case 'GET', '/health':
                 return _reply(200, {'status': 'alive'})
             case 'GET', '/ready':
@@ -58,7 +59,7 @@
             case _:
                 return _reply(404, {'error': 'no such path'})
 
-    def _take_announcement(self, request: Request) -> Response:
+    def _handle_announcement(self, request: Request) -> Response:
         try:
             announcement = Announcement.from_json(request.get_data())
         except InvalidInput as error:
--- a/baobabgap/agent/_batch_log.py
+++ b/baobabgap/agent/_batch_log.py
@@ -1,4 +1,4 @@
-"""One pair of log lines for each batch of tasks of a job."""
+"""Start and end log lines for each batch of tasks of a job."""
 
 from collections import Counter
 from queue import SimpleQueue
@@ -9,41 +9,41 @@
 
 
 class Batch:
-    """The tasks that one message placed, as one eliot action.
+    """The tasks of one `PlaceTasks` message, logged as one eliot action.
 
-    The action starts when they are placed and ends with the last of them.
+    The action starts on placement and finishes when the last task ends.
     """
 
     def __init__(self, action: Action, tasks: int) -> None:
         self._action = action
-        self._left = tasks
+        self._remaining_tasks = tasks
         self._count_by_outcome: Counter[str] = Counter()
 
     def note_end(self, outcome: str) -> bool:
-        """Count the end of a task; tell whether it was the last one."""
+        """Count the end of a task; return whether it was the last one."""
         self._count_by_outcome[outcome] += 1
-        self._left -= 1
-        return self._left == 0
+        self._remaining_tasks -= 1
+        return self._remaining_tasks == 0
 
     def finish(self) -> None:
-        """Write the action's last line."""
+        """Write the action's end line."""
         self._action.add_success_fields(**self._count_by_outcome)
         self._action.finish()
 
 
 class BatchLog:
-    """Writes the lines of batches from a task of its own.
+    """Writes the end lines of batches in a dedicated thread.
 
-    The scheduler hands ended batches over while it holds its lock, and
-    writing to a file there would hold up every other task.
+    The scheduler passes finished batches here while it holds its lock;
+    file I/O under that lock would block every other task.
     """
 
     def __init__(self, agent: str) -> None:
         self._agent = agent
-        self._ended: SimpleQueue[Batch | None] = SimpleQueue()
+        self._finished_batches: SimpleQueue[Batch | None] = SimpleQueue()
 
     def open(self, message: PlaceTasks) -> Batch | None:
-        """Begin the action of a batch, if the entry logs this job."""
+        """Start the action of a batch, if the entry logs this job."""
         if not message.log_action:
             return None
         try:
@@ -55,19 +55,20 @@
                 tasks=[placement.task for placement in message.tasks],
             )
         except (ValueError, IndexError):
-            # The entry's text is no eliot identifier: run without a log.
+            # `log_action` is not a valid eliot task identifier: the batch
+            # runs without log lines.
             return None
         return Batch(action, len(message.tasks))
 
     def close(self, batch: Batch) -> None:
-        """Have the last line of a batch written."""
-        self._ended.put(batch)
+        """Queue a batch so that its end line is written."""
+        self._finished_batches.put(batch)
 
     def run(self) -> None:
         """Write lines until `stop`."""
-        while (batch := self._ended.get()) is not None:
+        while (batch := self._finished_batches.get()) is not None:
             batch.finish()
 
     def stop(self) -> None:
-        """End `run` once all that was handed over is written."""
-        self._ended.put(None)
+        """End `run` once all queued batches are written."""
+        self._finished_batches.put(None)
--- a/baobabgap/agent/_directory.py
+++ b/baobabgap/agent/_directory.py
@@ -1,4 +1,4 @@
-"""Where the entries are, and how many slots the upstream may use."""
+"""Entry addresses and upstream limits from the control group."""
 
 from collections.abc import Callable
 import threading
@@ -19,10 +19,10 @@
 
 
 class EntryDirectory:
-    """What the agent has learned from the control group.
+    """State that the agent receives from the control group.
 
-    Hand `apply` to a `ControlClient`; `on_change` is called after each
-    change, from the thread that brought it.
+    Pass `apply` to a `ControlClient` as its callback; `on_change` is
+    called after each change, in the thread that calls `apply`.
     """
 
     def __init__(self, on_change: Callable[[], None]) -> None:
@@ -33,7 +33,7 @@
         self._policy = Policy()
 
     def apply(self, changes: Changes) -> None:
-        """Take in what has changed, or the whole state for version 0."""
+        """Apply a change, or the whole state if `from_version` is 0."""
         with self._lock:
             if changes.from_version == 0:
                 self._entry_by_name.clear()
@@ -46,18 +46,18 @@
         self._on_change()
 
     def entry_addresses(self) -> set[str]:
-        """Return the addresses of all living entries."""
+        """Return the addresses of all live entries."""
         with self._lock:
             return {member.address for member in self._entry_by_name.values()}
 
     def limit_of(self, upstream: str) -> int | None:
-        """Return how many slots a ticket allows, or None if none says."""
+        """Return the slot limit set by a ticket, or None if there is none."""
         with self._lock:
             return self._limit_by_upstream.get(upstream)
 
     @property
     def wants_load_reports(self) -> bool:
-        """Whether the policy in force needs `UpstreamLoad`."""
+        """Whether the placement policy in force uses `UpstreamLoad`."""
         return self._policy.placement is PlacementPolicy.LEAST_REPORTED
 
     def _apply_member(self, member: MemberRecord) -> None:
--- a/baobabgap/agent/_health.py
+++ b/baobabgap/agent/_health.py
@@ -1,11 +1,11 @@
-"""Whether the upstream may be trusted with new tasks."""
+"""Health of the upstream, and ejection after repeated failures."""
 
 from dataclasses import dataclass
 from typing import Final
 
 from baobabgap.settings import AgentSettings
 
-# Seconds without new tasks after a start was refused.
+# Seconds without new tasks after the upstream refused a start.
 _REFUSAL_PAUSE_S: Final = 0.5
 _FIRST_EJECTION_S: Final = 3.0
 _LONGEST_EJECTION_S: Final = 60.0
@@ -13,22 +13,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fitness:
-    """How many tasks the upstream may be given, and why not more."""
+class UsableSlots:
+    """How many slots of the upstream may be used, and why none."""
 
-    # Tasks at once.
+    # Maximum number of concurrent tasks.
     slots: int
-    # Why there are none; empty if there are.
+    # Why there are no usable slots; empty if there are some.
     reason: str = ''
 
 
 class UpstreamHealth:
-    """Judges the upstream by its answers and by its results.
+    """Derives the usable slots from health checks and task results.
 
     An upstream whose application answers no checks is silent. One that
-    fails tasks of several jobs in a row is ejected: it gets nothing for a
-    pause, and then one task at a time until one succeeds. A single job of
-    bad tasks ejects nobody. Times are of the monotonic clock.
+    fails tasks of several jobs in a row is ejected: it gets no tasks for a
+    backoff period, and then one task at a time until one succeeds. Failed
+    tasks of a single job never cause an ejection. Times are in seconds of
+    the monotonic clock.
     """
 
     def __init__(self, settings: AgentSettings) -> None:
@@ -36,33 +37,33 @@
         self._failed_jobs: set[str] = set()
         self._ejected_until = 0.0
         self._ejection_s = 0.0
-        self._last_good_check = 0.0
+        self._last_successful_check = 0.0
         self._failed_checks = 0
         self._is_unreachable = False
         self._refused_until = 0.0
 
-    def restart(self, now: float) -> None:
-        """Forget all that was known: there is a new upstream process."""
+    def reset(self, now: float) -> None:
+        """Clear the failure history: there is a new upstream process."""
         self._failed_jobs.clear()
         self._ejection_s = 0.0
-        self.note_good_check(now)
+        self.note_successful_check(now)
 
-    def note_good_check(self, sent_at: float) -> None:
-        """Record that the application answered a request sent then."""
-        self._last_good_check = sent_at
+    def note_successful_check(self, sent_at: float) -> None:
+        """Record that the application answered a check sent at `sent_at`."""
+        self._last_successful_check = sent_at
         self._failed_checks = 0
         self._is_unreachable = False
 
     def note_failed_check(self) -> None:
-        """Record that a check got no usable answer."""
+        """Record that a check got no valid answer."""
         self._failed_checks += 1
 
     def note_unreachable(self) -> None:
-        """Record that nobody listens where the upstream was."""
+        """Record that nothing listens at the upstream's address."""
         self._is_unreachable = True
 
     def note_refusal(self, now: float) -> None:
-        """Record that the upstream refused a start, so that it rests."""
+        """Record that the upstream refused a start; this pauses new tasks."""
         self._refused_until = now + _REFUSAL_PAUSE_S
 
     def note_success(self) -> None:
@@ -78,28 +79,28 @@
         if on_probation or len(self._failed_jobs) >= limit:
             self._eject(now)
 
-    def has_lapsed(self, now: float, lease_s: float) -> bool:
-        """Tell whether leases have lapsed for want of renewal."""
-        silent_s = now - self._last_good_check
+    def have_leases_lapsed(self, now: float, lease_s: float) -> bool:
+        """Return whether all leases have lapsed for lack of renewal."""
+        silent_s = now - self._last_successful_check
         return self._failed_checks >= 2 and silent_s > lease_s
 
-    def fitness(self, slots: int, now: float) -> Fitness:
-        """Tell how many of its slots may be used now."""
-        silent_s = now - self._last_good_check
+    def usable_slots(self, slots: int, now: float) -> UsableSlots:
+        """Return how many of `slots` may be used at time `now`."""
+        silent_s = now - self._last_successful_check
         if self._is_unreachable:
-            return Fitness(0, 'nobody listens at its address')
+            return UsableSlots(0, 'nobody listens at its address')
         if (
             self._failed_checks > 0
             and silent_s > self._settings.upstream_silence_s
         ):
-            return Fitness(0, 'its application is silent')
+            return UsableSlots(0, 'its application is silent')
         if now < self._refused_until:
-            return Fitness(0, 'it refuses to start tasks')
+            return UsableSlots(0, 'it refuses to start tasks')
         if now < self._ejected_until:
-            return Fitness(0, 'ejected: it fails task after task')
+            return UsableSlots(0, 'ejected: it fails task after task')
         if self._ejection_s > 0:
-            return Fitness(min(slots, _PROBATION_SLOTS))
-        return Fitness(slots)
+            return UsableSlots(min(slots, _PROBATION_SLOTS))
+        return UsableSlots(slots)
 
     def _eject(self, now: float) -> None:
         if now < self._ejected_until:
--- a/baobabgap/agent/_links.py
+++ b/baobabgap/agent/_links.py
@@ -1,4 +1,4 @@
-"""The open links to the entries, one for each entry."""
+"""The current link to each entry."""
 
 from typing import Protocol
 
@@ -6,18 +6,18 @@
 
 
 class EntryLink(Protocol):
-    """What the scheduler needs of a `Connection` to an entry."""
+    """The part of a `Connection` to an entry that the scheduler uses."""
 
     @property
     def peer(self) -> Hello:
-        """What the entry said of itself."""
+        """The `Hello` message of the entry."""
 
     def send(self, *messages: object) -> None:
         """Queue messages for sending."""
 
 
 class EntryLinks:
-    """The newest link of each entry; messages of older ones are void."""
+    """The newest link of each entry; messages on older ones are void."""
 
     def __init__(self) -> None:
         self._link_by_entry: dict[str, EntryLink] = {}
@@ -25,16 +25,16 @@
 
     @property
     def entries(self) -> list[str]:
-        """The names of the entries that are linked now."""
+        """The names of the entries that have a link."""
         return list(self._link_by_entry)
 
     def open(self, link: EntryLink) -> None:
-        """Make this the link of its entry."""
+        """Make this the current link of its entry."""
         self._link_by_entry[link.peer.name] = link
         self._lost_at_by_entry.pop(link.peer.name, None)
 
-    def lose(self, link: EntryLink, now: float) -> bool:
-        """Forget a link; tell whether it was the entry's newest."""
+    def remove(self, link: EntryLink, now: float) -> bool:
+        """Remove a link; return whether it was its entry's current one."""
         if not self.is_current(link):
             return False
         del self._link_by_entry[link.peer.name]
@@ -42,11 +42,11 @@
         return True
 
     def is_current(self, link: EntryLink) -> bool:
-        """Tell whether this is the newest link of its entry."""
+        """Return whether this is the current link of its entry."""
         return self._link_by_entry.get(link.peer.name) is link
 
     def find(self, entry: str, incarnation: str) -> EntryLink | None:
-        """Return the link to that very process, if there is one."""
+        """Return the link to this incarnation of the entry, if any."""
         link = self._link_by_entry.get(entry)
         if link is None or link.peer.incarnation != incarnation:
             return None
@@ -61,13 +61,13 @@
         """Send one message to a linked entry."""
         self._link_by_entry[entry].send(message)
 
-    def take_long_lost(self, lost_before: float) -> set[str]:
-        """Return, once, the entries whose link was lost before then."""
-        taken = {
+    def pop_lost_before(self, cutoff: float) -> set[str]:
+        """Remove and return the entries whose link was lost earlier."""
+        removed = {
             entry
             for entry, lost_at in self._lost_at_by_entry.items()
-            if lost_at < lost_before
+            if lost_at < cutoff
         }
-        for entry in taken:
+        for entry in removed:
             del self._lost_at_by_entry[entry]
-        return taken
+        return removed
--- a/baobabgap/agent/_monitor.py
+++ b/baobabgap/agent/_monitor.py
@@ -1,4 +1,4 @@
-"""Keeps watch over the upstream and over the leases there."""
+"""Monitoring of the upstream and of its leases."""
 
 from collections.abc import Callable
 import threading
@@ -8,27 +8,28 @@
 from baobabgap._exceptions import BaobabgapError
 from baobabgap.agent._announcement import Announcement
 from baobabgap.agent._health import UpstreamHealth
-from baobabgap.agent._memory import TaskRecord
 from baobabgap.agent._runner import UpstreamRunner
 from baobabgap.agent._scheduler import TaskScheduler
+from baobabgap.agent._task_registry import TaskRecord
 from baobabgap.agent._upstream import UpstreamClient
 from baobabgap.agent._upstream_reports import RenewalReport
 from baobabgap.settings import AgentSettings
 from baobabgap.telemetry import log_event
 from baobabgap.web import RequestNeverSent
 
-# Seconds between attempts to read the leases of a new upstream.
-_ADOPTION_PAUSE_S: Final = 0.02
-# Seconds after a job's deadline at which its tasks' leases lapse.
-_RUN_AFTER_DEADLINE_S: Final = 1.0
-# Seconds after which the upstream must have heard of a start.
-_START_ARRIVES_S: Final = 1.0
+# Seconds between attempts to list the leases of a new upstream.
+_ADOPTION_RETRY_S: Final = 0.02
+# Seconds after a job's deadline for which its tasks' leases are renewed.
+_DEADLINE_GRACE_S: Final = 1.0
+# Seconds within which a start request must have reached the upstream.
+_START_ARRIVAL_LIMIT_S: Final = 1.0
 
 
 class UpstreamMonitor:
-    """Adopts, renews and follows the leases of running tasks.
+    """Adopts, renews and tracks the leases of running tasks.
 
-    The renewal is also the check that the upstream's application lives.
+    The renewal also serves as the health check of the upstream's
+    application.
     """
 
     def __init__(
@@ -47,18 +48,19 @@
         self._scheduler = scheduler
         self._refresh_offer = refresh_offer
         self._is_adopted = False
-        # Leases of tasks reported lost while the upstream was silent.
-        self._given_up: list[str] = []
-        self._wake = runner.has_strayed
+        # Leases of tasks that were reported lost while the upstream was
+        # silent; stopped once it answers again.
+        self._abandoned_leases: list[str] = []
+        self._wake = runner.task_detached
         self._stopping = threading.Event()
 
     @property
     def is_adopted(self) -> bool:
-        """Whether the upstream is bound to this agent, its leases known."""
+        """Whether the upstream is bound to this agent and its leases read."""
         return self._is_adopted
 
-    def meet(self, announcement: Announcement) -> None:
-        """Turn to the upstream that has announced itself."""
+    def set_upstream(self, announcement: Announcement) -> None:
+        """Use the upstream that sent this announcement."""
         known = self._runner.client
         if known is not None and known.incarnation == announcement.incarnation:
             if known.address == announcement.address:
@@ -71,24 +73,24 @@
             return
         self._is_adopted = False
         if known is not None:
-            self._scheduler.give_up_running('the upstream has restarted')
+            self._scheduler.mark_running_lost('the upstream has restarted')
         self._wake.set()
 
     def watch(self) -> None:
-        """Adopt, renew and check until `stop`."""
+        """Adopt and renew leases periodically until `stop`."""
         while not self._stopping.is_set():
             pause_s = self._settings.upstream_check_s
             try:
                 if not self._check():
-                    pause_s = _ADOPTION_PAUSE_S
+                    pause_s = _ADOPTION_RETRY_S
             except Exception as error:
-                # Without this task no lease would ever be renewed again.
+                # If this loop ended, no lease would be renewed again.
                 log_event('agent:check_failed', why=repr(error))
             self._wake.wait(pause_s)
             self._wake.clear()
 
     def _check(self) -> bool:
-        """Renew or adopt; False if an adoption must be tried again soon."""
+        """Renew or adopt leases; return False to retry an adoption soon."""
         client = self._runner.client
         if client is None:
             return True
@@ -107,7 +109,7 @@
         return 2 * self._settings.upstream_check_s
 
     def _adopt(self, client: UpstreamClient) -> bool:
-        """Learn what runs already, once the upstream is bound to us."""
+        """Take over the upstream's leases once it is bound to this agent."""
         sent_at = time.monotonic()
         try:
             listing = client.list_leases(self._check_timeout_s)
@@ -119,7 +121,7 @@
         ):
             return False
         self._scheduler.adopt(listing)
-        self._health.restart(sent_at)
+        self._health.reset(sent_at)
         self._is_adopted = True
         self._refresh_offer()
         log_event('agent:upstream_adopted', leases=len(listing.leases))
@@ -127,70 +129,72 @@
 
     def _renew(self, client: UpstreamClient) -> None:
         now = time.monotonic()
-        records = self._scheduler.running()
-        renewed = [
+        records = self._scheduler.running_records()
+        to_renew = [
             record.lease
             for record in records
-            if now < record.deadline + _RUN_AFTER_DEADLINE_S or record.adrift
+            if now < record.deadline + _DEADLINE_GRACE_S or record.is_detached
         ]
-        acknowledged = self._scheduler.take_acknowledged_leases()
+        acknowledged = self._scheduler.pop_acknowledged_leases()
         try:
             report = client.renew(
-                renewed,
+                to_renew,
                 acknowledged,
                 self._settings.lease_s,
                 self._check_timeout_s,
             )
         except BaobabgapError as error:
-            self._scheduler.give_back_acknowledged_leases(acknowledged)
+            self._scheduler.requeue_acknowledged_leases(acknowledged)
             self._note_failed_check(error)
             return
         if report.incarnation != client.incarnation:
             self._health.note_failed_check()
             return
-        if self._given_up:
-            self._runner.stop_leases_now(self._given_up)
-            self._given_up = []
-        self._health.note_good_check(now)
-        self._follow(client, records, report)
+        if self._abandoned_leases:
+            self._runner.stop_leases_now(self._abandoned_leases)
+            self._abandoned_leases = []
+        self._health.note_successful_check(now)
+        self._handle_renewal(client, records, report)
 
     def _note_failed_check(self, error: BaobabgapError) -> None:
         self._health.note_failed_check()
         if isinstance(error, RequestNeverSent):
             self._health.note_unreachable()
             self._refresh_offer()
-        if self._health.has_lapsed(time.monotonic(), self._settings.lease_s):
-            self._given_up += self._scheduler.give_up_running(
+        if self._health.have_leases_lapsed(
+            time.monotonic(), self._settings.lease_s
+        ):
+            self._abandoned_leases += self._scheduler.mark_running_lost(
                 'the upstream is silent, and the lease has lapsed'
             )
 
-    def _follow(
+    def _handle_renewal(
         self,
         client: UpstreamClient,
         records: list[TaskRecord],
         report: RenewalReport,
     ) -> None:
-        """Bring tasks to their end whose own request was lost."""
+        """End tasks whose own requests to the upstream were lost."""
         record_by_lease = {record.lease: record for record in records}
         for ended in report.ended:
             record = record_by_lease.get(ended.lease)
             if record is None:
                 continue
-            if record.adrift or record.seen_ended:
+            if record.is_detached or record.reported_ended:
                 self._runner.end(record, ended)
-            record.seen_ended = True
-        long_ago = time.monotonic() - _START_ARRIVES_S
-        strayed = [
+            record.reported_ended = True
+        arrival_cutoff = time.monotonic() - _START_ARRIVAL_LIMIT_S
+        never_arrived = [
             lease
             for lease in report.unknown
             if lease in record_by_lease
             and (
-                record_by_lease[lease].adrift
-                or record_by_lease[lease].started_at < long_ago
+                record_by_lease[lease].is_detached
+                or record_by_lease[lease].started_at < arrival_cutoff
             )
         ]
-        if strayed:
-            self._revoke(client, strayed, record_by_lease)
+        if never_arrived:
+            self._revoke(client, never_arrived, record_by_lease)
 
     def _revoke(
         self,
@@ -198,7 +202,7 @@
         leases: list[str],
         record_by_lease: dict[str, TaskRecord],
     ) -> None:
-        """Keep starts that never arrived from arriving later."""
+        """Revoke leases so that late start requests have no effect."""
         try:
             reports = client.stop(leases, self._check_timeout_s)
         except BaobabgapError:
--- a/baobabgap/agent/_outbox.py
+++ b/baobabgap/agent/_outbox.py
@@ -1,4 +1,4 @@
-"""Results that leave together once the scheduler's lock is let go."""
+"""Outgoing results, sent in batches when the scheduler's lock is freed."""
 
 import threading
 from types import TracebackType
@@ -9,7 +9,7 @@
 
 
 class ResultOutbox:
-    """Holds a lock, and at its release sends one message to each entry.
+    """Holds a lock, and sends one message per entry before releasing it.
 
     An example::
 
@@ -37,7 +37,7 @@
             self._lock.release()
 
     def add(self, link: EntryLink, result: TaskResult) -> None:
-        """Send a result when the lock is let go."""
+        """Queue a result that is sent when the lock is released."""
         self._results_by_link.setdefault(link, []).append(result)
 
     def _send_all(self) -> None:
--- a/baobabgap/agent/_queue.py
+++ b/baobabgap/agent/_queue.py
@@ -1,19 +1,19 @@
-"""Tasks that wait at the agent for a free slot."""
+"""Queue of tasks that wait for a free slot."""
 
 from collections import deque
 from collections.abc import Callable
 
-from baobabgap.agent._memory import TaskRecord
-from baobabgap.agent._memory import TaskState
+from baobabgap.agent._task_registry import TaskRecord
+from baobabgap.agent._task_registry import TaskState
 from baobabgap.jobs import TaskSize
 
 
 class TaskQueue:
-    """A first-come queue that starts what fits into free resources.
+    """FIFO queue whose head starts once its resources are free.
 
-    It is short: a task waits here only if its token was void, or if tasks
-    that run hold the processors or the memory that it has declared. The
-    task at the head is never overtaken, so that a large one can't starve.
+    It is short: a task waits here only if its token was void, or if
+    running tasks hold the processors or memory that it declares. No task
+    starts before the head of the queue, so that a large task can't starve.
     """
 
     def __init__(self) -> None:
@@ -23,11 +23,11 @@
         return len(self._records)
 
     def append(self, record: TaskRecord) -> None:
-        """Let a task wait."""
+        """Add a task to the end of the queue."""
         self._records.append(record)
 
     def pop_fitting(self, free: TaskSize) -> TaskRecord | None:
-        """Take the task at the head if it fits."""
+        """Remove and return the task at the head if it fits."""
         while self._records:
             head = self._records[0]
             if head.state is not TaskState.QUEUED:
@@ -38,18 +38,20 @@
             return self._records.popleft()
         return None
 
-    def take(self, wanted: Callable[[TaskRecord], bool]) -> list[TaskRecord]:
-        """Take out all tasks that `wanted` holds for."""
-        taken = [record for record in self._records if wanted(record)]
-        if taken:
+    def remove_matching(
+        self, predicate: Callable[[TaskRecord], bool]
+    ) -> list[TaskRecord]:
+        """Remove and return all tasks for which `predicate` is true."""
+        removed = [record for record in self._records if predicate(record)]
+        if removed:
             self._records = deque(
-                record for record in self._records if not wanted(record)
+                record for record in self._records if not predicate(record)
             )
-        return taken
+        return removed
 
 
 def size_of(record: TaskRecord) -> TaskSize:
-    """Return the declared size; nothing is known of an adopted task."""
+    """Return the declared size, or zero for an adopted task."""
     if record.placement is None:
         return TaskSize(0.0, 0, 0)
     return record.placement.size
--- a/baobabgap/agent/_resources.py
+++ b/baobabgap/agent/_resources.py
@@ -1,13 +1,13 @@
-"""The processors, memory and accelerators that running tasks hold."""
+"""Processors, memory and accelerators that running tasks hold."""
 
 from typing import Final
 
-from baobabgap.agent._memory import TaskRecord
 from baobabgap.agent._queue import size_of
+from baobabgap.agent._task_registry import TaskRecord
 from baobabgap.jobs import TaskSize
 
-# Adding and subtracting fractions leaves a rest far below this.
-_PROCESSOR_ROUNDING: Final = 1e-6
+# Adding and subtracting fractions leaves an error far below this.
+_PROCESSOR_TOLERANCE: Final = 1e-6
 
 
 class RunningResources:
@@ -18,24 +18,24 @@
         self._memory_mb = 0
         self._accelerators = 0
 
-    def take(self, record: TaskRecord) -> None:
-        """Count a task that starts."""
+    def acquire(self, record: TaskRecord) -> None:
+        """Add the size of a task that starts."""
         size = size_of(record)
         self._processors += size.processors
         self._memory_mb += size.memory_mb
         self._accelerators += size.accelerators
 
-    def give_back(self, record: TaskRecord) -> None:
-        """Count a task that has ended."""
+    def release(self, record: TaskRecord) -> None:
+        """Subtract the size of a task that has ended."""
         size = size_of(record)
         self._processors -= size.processors
         self._memory_mb -= size.memory_mb
         self._accelerators -= size.accelerators
 
     def free(self, capacity: TaskSize) -> TaskSize:
-        """Return what is left of the capacity."""
+        """Return the part of the capacity that no task holds."""
         return TaskSize(
-            capacity.processors - self._processors + _PROCESSOR_ROUNDING,
+            capacity.processors - self._processors + _PROCESSOR_TOLERANCE,
             capacity.memory_mb - self._memory_mb,
             capacity.accelerators - self._accelerators,
         )
--- a/baobabgap/agent/_runner.py
+++ b/baobabgap/agent/_runner.py
@@ -1,4 +1,4 @@
-"""Runs tasks at the upstream."""
+"""Running of tasks on the upstream."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -8,9 +8,9 @@
 
 from baobabgap._exceptions import BaobabgapError
 from baobabgap.agent._health import UpstreamHealth
-from baobabgap.agent._memory import TaskRecord
-from baobabgap.agent._memory import TaskState
 from baobabgap.agent._scheduler import TaskScheduler
+from baobabgap.agent._task_registry import TaskRecord
+from baobabgap.agent._task_registry import TaskState
 from baobabgap.agent._upstream import UpstreamClient
 from baobabgap.agent._upstream_reports import LeaseReport
 from baobabgap.agent._upstream_reports import LeaseRequest
@@ -21,15 +21,15 @@
 from baobabgap.settings import AgentSettings
 from baobabgap.telemetry import log_event
 
-# Seconds that a request waits for the end of a task after its deadline.
+# Seconds after a task's deadline at which its request times out.
 _REQUEST_AFTER_DEADLINE_S: Final = 10.0
 
 
 class UpstreamRunner:
-    """Holds one request open for each running task.
+    """Holds one request to the upstream open for each running task.
 
-    A request may be lost while its task runs on; such a task is adrift,
-    and `UpstreamMonitor` finds out what becomes of it.
+    A request may fail while its task continues to run; such a task is
+    detached, and `UpstreamMonitor` determines its outcome.
     """
 
     def __init__(
@@ -44,15 +44,15 @@
         self._scheduler: TaskScheduler
         self._refresh_offer: Callable[[], None]
         self._stopping = threading.Event()
-        # The upstream in use, once one has announced itself.
+        # Client of the current upstream, once one has announced itself.
         self.client: UpstreamClient | None = None
-        # Set when a task has gone adrift.
-        self.has_strayed: Final = threading.Event()
+        # Set when a task becomes detached.
+        self.task_detached: Final = threading.Event()
 
     def attach(
         self, scheduler: TaskScheduler, refresh_offer: Callable[[], None]
     ) -> None:
-        """Say who is to hear of the ends of tasks and of changed health."""
+        """Set the receivers of task ends and of health changes."""
         self._scheduler = scheduler
         self._refresh_offer = refresh_offer
 
@@ -65,11 +65,11 @@
         self._pool.submit(self.stop_leases_now, leases)
 
     def stop(self) -> None:
-        """Give up all requests within about a second."""
+        """Abandon all requests within about a second."""
         self._stopping.set()
 
     def end(self, record: TaskRecord, report: LeaseReport) -> None:
-        """Take the end of a task from the upstream's report."""
+        """End a task as the upstream reports, and update the health."""
         outcome = report.outcome
         if outcome is None:
             return
@@ -91,11 +91,11 @@
             record.placement.payload,
             self._settings.lease_s,
         )
-        left_s = max(0.0, record.deadline - time.monotonic())
+        remaining_s = max(0.0, record.deadline - time.monotonic())
         try:
             answer = client.start(
                 request,
-                left_s + _REQUEST_AFTER_DEADLINE_S,
+                remaining_s + _REQUEST_AFTER_DEADLINE_S,
                 lambda: (
                     record.state is TaskState.ENDED or self._stopping.is_set()
                 ),
@@ -115,16 +115,19 @@
                 self._end_unstarted(record, reason)
             case StartUnknown(reason):
                 log_event('agent:start_unknown', job=record.job, why=reason)
-                record.adrift = True
-                self.has_strayed.set()
+                record.is_detached = True
+                self.task_detached.set()
 
     def _end_unstarted(self, record: TaskRecord, reason: str) -> None:
-        """Give a task back, and first tell the entries to place no more."""
+        """Return a task, after sending the entries the changed offer.
+
+        The order keeps entries from placing the task here again.
+        """
         self._refresh_offer()
         self._scheduler.end(record, TaskOutcome.NOT_STARTED, reason)
 
     def stop_leases_now(self, leases: list[str]) -> None:
-        """Stop tasks; their ends arrive as of any other task."""
+        """Stop tasks; their ends are reported like those of other tasks."""
         client = self.client
         if client is None:
             return
--- a/baobabgap/agent/_memory.py
+++ b/baobabgap/agent/_task_registry.py
@@ -1,4 +1,4 @@
-"""What the agent knows of the tasks that were placed with it."""
+"""Records of the tasks that were placed with the agent."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -11,15 +11,16 @@
 from baobabgap.messages import TaskPlacement
 from baobabgap.messages import TaskResult
 
-# Acknowledged tasks that are still recognised if they are placed again.
-REMEMBERED_TASKS: Final = 20_000
-# Results that an entry has not acknowledged; more placements than that
-# are refused until it does.
-_UNACKNOWLEDGED_TASKS: Final = 20_000
+# Started tasks that are recognised as duplicates after their results were
+# acknowledged, and jobs whose owner is kept.
+KEPT_STARTED_TASKS: Final = 20_000
+# Tasks without an acknowledged result at which new placements are refused
+# until entries acknowledge results.
+_MAX_UNACKNOWLEDGED_TASKS: Final = 20_000
 
 
 class TaskState(Enum):
-    """Where a placed task is in its life at the agent."""
+    """State of a placed task at the agent."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -28,11 +29,11 @@
 
 @dataclass(slots=True)
 class TaskRecord:
-    """One placed task; only `TaskScheduler` changes it."""
+    """One placed task; modified only under the scheduler's lock."""
 
     # The job's identifier.
     job: str
-    # The task itself; None if an earlier agent process started it.
+    # The placement; None if an earlier agent process started the task.
     placement: TaskPlacement | None
     # The task's identifier within its job.
     task: str
@@ -40,19 +41,20 @@
     owner: str
     # The incarnation of that entry.
     owner_incarnation: str
-    # When the job's deadline passes, in seconds of the monotonic clock.
+    # The job's deadline, in seconds of the monotonic clock.
     deadline: float
-    # Where the task is in its life.
+    # Whether it waits, runs or has ended.
     state: TaskState = TaskState.QUEUED
-    # When it was handed to the upstream, by the monotonic clock.
+    # When it was submitted to the upstream, in seconds of the monotonic
+    # clock.
     started_at: float = 0.0
-    # The logged batch that it came with, if any.
+    # The logged batch that it belongs to, if any.
     batch: Batch | None = None
-    # Whether no request is waiting for its end at the upstream.
-    adrift: bool = False
-    # Whether the upstream has listed it as ended at the last renewal.
-    seen_ended: bool = False
-    # How it ended, once it has.
+    # Whether no open request to the upstream waits for its end.
+    is_detached: bool = False
+    # Whether the upstream has reported it as ended at a renewal.
+    reported_ended: bool = False
+    # Its result, once it has ended.
     result: TaskResult | None = None
 
     @property
@@ -69,22 +71,22 @@
 
 
 def lease_identifier(job: str, task: str) -> str:
-    """Name the lease of a task: job and task with a slash between."""
+    """Return the lease identifier of a task, as `job/task`."""
     return f'{job}/{task}'
 
 
-class StartMemory:
-    """Remembers each placed task, so that it starts at most once.
+class TaskRegistry:
+    """Records each placed task, so that it starts at most once.
 
-    A record stays until the entry has acknowledged its result. After that
-    the task alone is remembered, for the last `REMEMBERED_TASKS` of them,
-    which at the peak of 26 starts a second on one upstream is longer than
-    the longest deadline.
+    A record is kept until the entry acknowledges its result. After that
+    only the lease identifier is kept, for the last `KEPT_STARTED_TASKS`
+    started tasks; at the peak of 26 starts per second on one upstream
+    this covers more time than the longest deadline.
     """
 
     def __init__(self) -> None:
         self._record_by_lease: dict[str, TaskRecord] = {}
-        # Taking the first key out of a plain dict again and again is slow.
+        # Removing the first key of a plain dict repeatedly is slow.
         self._started_leases: OrderedDict[str, None] = OrderedDict()
         self._owner_by_job: OrderedDict[str, str] = OrderedDict()
         self._acknowledged_leases: list[str] = []
@@ -94,57 +96,57 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no more tasks may be placed until results are taken."""
-        return len(self._record_by_lease) >= _UNACKNOWLEDGED_TASKS
+        """Whether placements are refused until results are acknowledged."""
+        return len(self._record_by_lease) >= _MAX_UNACKNOWLEDGED_TASKS
 
     def records(self) -> list[TaskRecord]:
         """Return all records, oldest first."""
         return list(self._record_by_lease.values())
 
     def find(self, job: str, task: str) -> TaskRecord | None:
-        """Return the record of a task that was not acknowledged yet."""
+        """Return the record of a task that is not acknowledged yet."""
         return self._record_by_lease.get(lease_identifier(job, task))
 
     def has_started(self, job: str, task: str) -> bool:
-        """Tell whether a task without a record is known to have started."""
+        """Return whether a task without a record is known to have started."""
         return lease_identifier(job, task) in self._started_leases
 
-    def settle_owner(self, job: str, owner_incarnation: str) -> bool:
-        """Take the first owner of a job; tell whether it is this one."""
+    def bind_owner(self, job: str, owner_incarnation: str) -> bool:
+        """Bind a job to its first owner; return whether it is this one."""
         owner = self._owner_by_job.setdefault(job, owner_incarnation)
-        if len(self._owner_by_job) > REMEMBERED_TASKS:
+        if len(self._owner_by_job) > KEPT_STARTED_TASKS:
             self._owner_by_job.popitem(last=False)
         return owner == owner_incarnation
 
     def add(self, record: TaskRecord) -> None:
-        """Remember a task that was placed just now."""
+        """Add the record of a newly placed task."""
         self._record_by_lease[record.lease] = record
 
     def acknowledge(self, record: TaskRecord) -> None:
-        """Drop a record whose result the entry has."""
+        """Drop a record whose result the entry has acknowledged."""
         if record.has_started:
             self._acknowledged_leases.append(record.lease)
         self.drop(record)
 
     def drop(self, record: TaskRecord) -> None:
-        """Drop a record that nobody will ask for; keep that it started.
+        """Drop a record, but keep whether its task has started.
 
-        The upstream isn't told to forget it, so that an agent that starts
-        anew still learns of it there.
+        The upstream keeps its own record, so that a restarted agent still
+        finds the task there.
         """
         del self._record_by_lease[record.lease]
         if not record.has_started:
             return
         self._started_leases[record.lease] = None
-        if len(self._started_leases) > REMEMBERED_TASKS:
+        if len(self._started_leases) > KEPT_STARTED_TASKS:
             self._started_leases.popitem(last=False)
 
-    def take_acknowledged_leases(self) -> list[str]:
-        """Return, once, the leases that the upstream may forget."""
+    def pop_acknowledged_leases(self) -> list[str]:
+        """Remove and return the leases that the upstream may drop."""
         taken = self._acknowledged_leases
         self._acknowledged_leases = []
         return taken
 
-    def give_back_acknowledged_leases(self, leases: Iterable[str]) -> None:
-        """Take leases back that could not be told to the upstream."""
+    def requeue_acknowledged_leases(self, leases: Iterable[str]) -> None:
+        """Put back leases whose acknowledgement could not be sent."""
         self._acknowledged_leases.extend(leases)
--- a/baobabgap/agent/_task_desk.py
+++ b/baobabgap/agent/_task_tracker.py
@@ -1,4 +1,4 @@
-"""The tasks at the agent, from their arrival to their result."""
+"""State of the agent's tasks, from placement to result."""
 
 from collections.abc import Callable
 import threading
@@ -11,12 +11,12 @@
 from baobabgap.agent._ledger import SlotLedger
 from baobabgap.agent._links import EntryLink
 from baobabgap.agent._links import EntryLinks
-from baobabgap.agent._memory import StartMemory
-from baobabgap.agent._memory import TaskRecord
-from baobabgap.agent._memory import TaskState
 from baobabgap.agent._outbox import ResultOutbox
 from baobabgap.agent._queue import TaskQueue
 from baobabgap.agent._resources import RunningResources
+from baobabgap.agent._task_registry import TaskRecord
+from baobabgap.agent._task_registry import TaskRegistry
+from baobabgap.agent._task_registry import TaskState
 from baobabgap.jobs import TaskSize
 from baobabgap.messages import TaskOutcome
 from baobabgap.messages import TaskResult
@@ -24,7 +24,7 @@
 from baobabgap.telemetry import Metrics
 
 # Seconds after a job's deadline for which its results are kept.
-_KEPT_AFTER_DEADLINE_S: Final = 30.0
+_RETENTION_AFTER_DEADLINE_S: Final = 30.0
 
 _OTHER_OWNER: Final = 'placed before by another incarnation of an entry'
 _NO_UPSTREAM: Final = UpstreamOffer(
@@ -32,11 +32,11 @@
 )
 
 
-class TaskDesk:
-    """Queued, running and ended tasks, with the slots that they hold.
+class TaskTracker:
+    """Tracks queued, running and ended tasks and the slots they hold.
 
-    Every method needs the lock that `outbox` holds. `run` is called with
-    each task to start.
+    Callers of any method hold the lock of `outbox`. `run_task` is called
+    with each task to start.
     """
 
     def __init__(
@@ -44,44 +44,44 @@
         agent: str,
         metrics: Metrics,
         batch_log: BatchLog,
-        run: Callable[[TaskRecord], None],
+        run_task: Callable[[TaskRecord], None],
     ) -> None:
         self._metrics = metrics
         self._batch_log = batch_log
-        self._run = run
+        self._run_task = run_task
         self._queue = TaskQueue()
         self._resources = RunningResources()
         self.links: Final = EntryLinks()
         self.ledger: Final = SlotLedger(agent)
-        self.memory: Final = StartMemory()
+        self.registry: Final = TaskRegistry()
         self.outbox: Final = ResultOutbox(threading.RLock())
         self.offer = _NO_UPSTREAM
 
     def set_offer(self, offer: UpstreamOffer) -> None:
-        """Use what the upstream offers from now on."""
+        """Apply the upstream's new offer to the slots and the queue."""
         self.offer = offer
         self.ledger.set_slots(offer.slots if offer.accepting else 0)
         if not offer.accepting:
             self.drop_queued(lambda record: True, offer.reason)
-        self.start_waiting()
+        self.start_queued()
 
     def receive(self, record: TaskRecord, epoch: int) -> None:
-        """Remember a task that has arrived with a token of `epoch`."""
-        self.memory.add(record)
+        """Record a task that has arrived with a token of `epoch`."""
+        self.registry.add(record)
         self.ledger.receive(epoch)
 
     def enqueue(self, record: TaskRecord) -> None:
-        """Let a task wait for a slot."""
+        """Queue a task until a slot is free."""
         self._queue.append(record)
 
     def adopt(self, record: TaskRecord) -> None:
-        """Remember a task that an earlier agent process has started."""
-        self.memory.add(record)
-        self.memory.settle_owner(record.job, record.owner_incarnation)
+        """Record a running task that an earlier agent process started."""
+        self.registry.add(record)
+        self.registry.bind_owner(record.job, record.owner_incarnation)
         self.ledger.adopt()
 
-    def start_waiting(self) -> None:
-        """Start what waits for as long as slots and resources are free."""
+    def start_queued(self) -> None:
+        """Start queued tasks while slots and resources are free."""
         now = time.monotonic()
         while len(self._queue) and self.ledger.free_slots > 0:
             free = self._resources.free(self.offer.capacity)
@@ -95,9 +95,9 @@
             record.state = TaskState.RUNNING
             record.started_at = now
             self.ledger.begin()
-            self._resources.take(record)
+            self._resources.acquire(record)
             self._metrics.count('baobabgap_tasks_started_total')
-            self._run(record)
+            self._run_task(record)
 
     def finish(
         self,
@@ -106,14 +106,14 @@
         value: Any,
         run_time_ms: float,
     ) -> None:
-        """End a task, and send its result if its entry is linked."""
+        """End a task and send its result if its entry is linked."""
         if record.state is TaskState.RUNNING:
             self.ledger.end_running()
-            self._resources.give_back(record)
+            self._resources.release(record)
         else:
             self.ledger.end_queued()
         link = self.links.find(record.owner, record.owner_incarnation)
-        returns = link is not None and self.ledger.give_back_token()
+        token_returns = link is not None and self.ledger.return_token()
         record.state = TaskState.ENDED
         result = TaskResult(
             record.job,
@@ -121,11 +121,11 @@
             outcome,
             value,
             run_time_ms,
-            returns,
+            token_returns,
             self.ledger.epoch,
         )
-        # A resent result brings no second token.
-        record.result = _without_token(result) if returns else result
+        # A resent result does not return a second token.
+        record.result = _without_token(result) if token_returns else result
         self.note_end(record.batch, outcome.value)
         self._metrics.count(
             f'baobabgap_tasks_ended_total{{outcome="{outcome.value}"}}'
@@ -134,21 +134,21 @@
             self.outbox.add(link, result)
 
     def drop_queued(
-        self, wanted: Callable[[TaskRecord], bool], reason: str
+        self, predicate: Callable[[TaskRecord], bool], reason: str
     ) -> None:
-        """End queued tasks without a start."""
-        for record in self._queue.take(wanted):
+        """End queued tasks that match, without starting them."""
+        for record in self._queue.remove_matching(predicate):
             self.finish(record, TaskOutcome.NOT_STARTED, reason, 0.0)
 
     def drop_expired(self, now: float) -> None:
-        """Drop results that no entry has fetched long after the deadline."""
-        for record in self.memory.records():
-            expired_at = record.deadline + _KEPT_AFTER_DEADLINE_S
+        """Drop results that stay unacknowledged long after the deadline."""
+        for record in self.registry.records():
+            expired_at = record.deadline + _RETENTION_AFTER_DEADLINE_S
             if record.state is TaskState.ENDED and expired_at < now:
-                self.memory.drop(record)
+                self.registry.drop(record)
 
-    def repeat(self, link: EntryLink, record: TaskRecord) -> None:
-        """Answer for a task that is known already, if it has ended."""
+    def answer_known_task(self, link: EntryLink, record: TaskRecord) -> None:
+        """Send the result of a task that has a record, if it has ended."""
         if record.owner_incarnation != link.peer.incarnation:
             lost = lost_result(record.job, record.task, _OTHER_OWNER)
             self.outbox.add(link, lost)
@@ -156,18 +156,18 @@
             self.outbox.add(link, record.result)
 
     def redistribute(self) -> None:
-        """Begin a new epoch, and tell each entry of its tokens."""
+        """Begin a new epoch and send each entry its tokens."""
         self.ledger.set_entries(self.links.entries)
         for entry, grant in self.ledger.redistribute().items():
             self.links.send_to(entry, grant)
 
     def note_end(self, batch: Batch | None, outcome: str) -> None:
-        """Count the end of a task for the log."""
+        """Count the end of a task in its logged batch."""
         if batch is not None and batch.note_end(outcome):
             self._batch_log.close(batch)
 
-    def waste(self, kind: str, messages: int = 1) -> None:
-        """Count messages that changed nothing."""
+    def count_wasted(self, kind: str, messages: int = 1) -> None:
+        """Count messages that had no effect."""
         if messages:
             self._metrics.count(
                 f'baobabgap_wasted_messages_total{{kind="{kind}"}}', messages
@@ -175,7 +175,7 @@
 
 
 def lost_result(job: str, task: str, reason: str) -> TaskResult:
-    """Answer that what became of a task can't be known."""
+    """Return the result of a task whose outcome can't be known."""
     return TaskResult(job, task, TaskOutcome.LOST, reason, 0.0, False, 0)
 
 
--- a/baobabgap/agent/_upstream.py
+++ b/baobabgap/agent/_upstream.py
@@ -1,4 +1,4 @@
-"""The agent's HTTP requests to its upstream."""
+"""HTTP client of the agent for its upstream."""
 
 from collections import deque
 from collections.abc import Callable
@@ -24,17 +24,17 @@
 from baobabgap.web import WebResponse
 
 _OK: Final = 200
-# The upstream did not start the task. 409 is not among them: a request
-# that the library has sent twice may have started the first time, with an
-# upstream process that is gone.
+# Statuses that mean that the task was not started. 409 is not among them:
+# if the HTTP library sent the request twice, the first copy may have
+# started the task on an upstream process that is gone.
 _REFUSED_STATUSES: Final = (400, 429)
 
 
 class UpstreamClient:
-    """Talks to one incarnation of the upstream.
+    """Client for one incarnation of the upstream.
 
-    Each request that waits holds a kept-alive connection of its own, so
-    there are about as many as slots.
+    Each open request holds its own keep-alive connection, so there are
+    about as many connections as slots.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         timeout_s: float,
         is_given_up: Callable[[], bool],
     ) -> LeaseReport | StartRefused | UpstreamUnreachable | StartUnknown:
-        """Start a task and wait for its end, or until it is given up."""
+        """Start a task and wait for its end or until `is_given_up`."""
         document = {
             'lease': request.lease,
             'owner': request.owner,
@@ -66,10 +66,12 @@
                 'POST', '/v1/leases', document, timeout_s, is_given_up
             )
             if response.status in _REFUSED_STATUSES:
-                return StartRefused(_error_of(response))
-            report: LeaseReport = self._read(_REPORT, response)
+                return StartRefused(_error_text(response))
+            report: LeaseReport = self._parse(_REPORT, response)
             if report.lease != request.lease or report.outcome is None:
-                return StartUnknown(f'an answer about {report.lease}')
+                return StartUnknown(
+                    f'unexpected answer about lease {report.lease}'
+                )
         except RequestNeverSent as error:
             return UpstreamUnreachable(str(error))
         except (ConnectionLost, ProtocolMismatch) as error:
@@ -83,7 +85,7 @@
         lease_s: float,
         timeout_s: float,
     ) -> RenewalReport:
-        """Prolong leases; this also shows that the application lives."""
+        """Renew leases; this is also the application's health check."""
         document = {
             'leases': leases,
             'acknowledged': acknowledged,
@@ -93,19 +95,19 @@
         response = self._request(
             'POST', '/v1/leases/renew', document, timeout_s
         )
-        report: RenewalReport = self._read(_RENEWAL, response)
+        report: RenewalReport = self._parse(_RENEWAL, response)
         return report
 
     def list_leases(self, timeout_s: float) -> LeaseListing:
-        """Ask for all leases, as an agent does after its start."""
+        """Request all leases, as an agent does after its start."""
         response = self._request('GET', '/v1/leases', None, timeout_s)
-        listing: LeaseListing = self._read(_LISTING, response)
+        listing: LeaseListing = self._parse(_LISTING, response)
         return listing
 
     def stop(
         self, leases: Sequence[str], timeout_s: float
     ) -> tuple[LeaseReport, ...]:
-        """Stop leases; one that is unknown there will never start."""
+        """Stop leases; one unknown to the upstream is kept from starting."""
         document = {
             'leases': leases,
             'agent_incarnation': self._agent_incarnation,
@@ -113,7 +115,7 @@
         response = self._request(
             'POST', '/v1/leases/stop', document, timeout_s
         )
-        stopped: StoppedLeases = self._read(_STOPPED, response)
+        stopped: StoppedLeases = self._parse(_STOPPED, response)
         return stopped.leases
 
     def _request(
@@ -145,10 +147,10 @@
         self._idle_clients.append(client)
         return response
 
-    def _read(self, adapter: TypeAdapter[Any], response: WebResponse) -> Any:
+    def _parse(self, adapter: TypeAdapter[Any], response: WebResponse) -> Any:
         if response.status != _OK:
             raise ProtocolMismatch(
-                f'status {response.status}: {_error_of(response)}',
+                f'status {response.status}: {_error_text(response)}',
                 step='upstream',
                 peer=self.address,
             )
@@ -156,13 +158,13 @@
             return adapter.validate_json(response.body)
         except ValidationError as error:
             raise ProtocolMismatch(
-                f'no usable answer: {error.error_count()} wrong fields',
+                f'invalid answer: {error.error_count()} field errors',
                 step='upstream',
                 peer=self.address,
             ) from error
 
 
-def _error_of(response: WebResponse) -> str:
+def _error_text(response: WebResponse) -> str:
     return response.body[:200].decode('utf-8', 'replace')
 
 
--- a/baobabgap/agent/_upstream_reports.py
+++ b/baobabgap/agent/_upstream_reports.py
@@ -1,4 +1,4 @@
-"""What an agent asks of its upstream, and what it is told."""
+"""Requests to the upstream and its answers."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReport:
-    """What the upstream says of one lease."""
+    """State of one lease at the upstream."""
 
-    # The job's and the task's identifiers, with a slash between.
+    # The identifiers of the job and the task, as `job/task`.
     lease: str
-    # The owner that the agent named at the start.
+    # The owner that the agent specified at the start.
     owner: str
-    # running, done, failed, stopped, lapsed or revoked.
+    # One of running, done, failed, stopped, lapsed or revoked.
     state: str
-    # What the task returned, or why it has not.
+    # The return value of the task, or the reason why there is none.
     value: Any
     # Milliseconds from start to end.
     run_time_ms: float
@@ -36,7 +36,7 @@
 
     @property
     def result(self) -> Any:
-        """The value, or why there is none, for the entry."""
+        """The value for the entry, or the reason why there is none."""
         match self.state:
             case 'stopped':
                 return 'stopped at the upstream after its start'
@@ -48,40 +48,40 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseListing:
-    """All leases that the upstream remembers."""
+    """All leases that the upstream has records of."""
 
     # The upstream's incarnation.
     incarnation: str
-    # The incarnation of the agent that it takes starts from.
+    # The incarnation of the agent whose start requests it accepts.
     bound_agent: str
-    # For each agent incarnation that it was bound to, whether that one
-    # has served no upstream process but this.
+    # For each agent incarnation that it was bound to, whether that agent
+    # has served no other upstream process.
     sole_by_agent: dict[str, bool]
-    # Running leases, and ended ones that were not acknowledged.
+    # Running leases, and ended ones that are not acknowledged.
     leases: tuple[LeaseReport, ...]
-    # False if some that were not acknowledged have been forgotten.
+    # False if the upstream has dropped leases that were not acknowledged.
     complete: bool
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalReport:
-    """What became of the leases that were to be renewed."""
+    """Result of a request to renew leases."""
 
     # The upstream's incarnation.
     incarnation: str
-    # Those that run on.
+    # Leases that were renewed and still run.
     running: tuple[str, ...]
-    # Those that have ended.
+    # Leases that have ended.
     ended: tuple[LeaseReport, ...]
-    # Those that the upstream has never heard of.
+    # Leases that the upstream has no record of.
     unknown: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class StartRefused:
-    """The upstream did not start the task, and never will."""
+    """The upstream refused to start the task and will not start it."""
 
-    # Why, for a person.
+    # The reason, as text for people.
     reason: str
 
 
@@ -89,15 +89,15 @@
 class UpstreamUnreachable:
     """The request was never sent, so the task has not started."""
 
-    # Why, for a person.
+    # The reason, as text for people.
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class StartUnknown:
-    """The request got no usable answer: nobody knows if it started."""
+    """The request got no valid answer: the task may have started."""
 
-    # Why, for a person.
+    # The reason, as text for people.
     reason: str
 
 
@@ -105,13 +105,13 @@
 class LeaseRequest:
     """One task to start at the upstream."""
 
-    # The job's and the task's identifiers, with a slash between.
+    # The identifiers of the job and the task, as `job/task`.
     lease: str
-    # Whose task it is, kept by the upstream for an agent that restarts.
+    # Owner of the task; the upstream stores it for a restarted agent.
     owner: str
-    # The sort of work.
+    # The kind of work.
     kind: str
-    # The task's own input.
+    # The input of the task.
     payload: Any
     # Seconds until the lease lapses unless it is renewed.
     lease_s: float
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoppedLeases:
-    """The answer to a request to stop leases."""
+    """Result of a request to stop leases."""
 
-    # What became of each.
+    # The state of each lease after the request.
     leases: tuple[LeaseReport, ...]
--- a/baobabgap/agent/_upstream_state.py
+++ b/baobabgap/agent/_upstream_state.py
@@ -1,4 +1,4 @@
-"""What the agent offers of its upstream at the moment."""
+"""The upstream's announced state and the offer derived from it."""
 
 import threading
 import time
@@ -13,12 +13,12 @@
 from baobabgap.jobs import TaskSize
 from baobabgap.messages import UpstreamOffer
 
-# Upstream processes of the past that are recognised if they come back.
-_REMEMBERED_UPSTREAMS: Final = 1000
+# Earlier upstream incarnations whose announcements are still refused.
+_KEPT_EARLIER_INCARNATIONS: Final = 1000
 
 
 class UpstreamState:
-    """Joins the announcement, the health and the limit into an offer."""
+    """Combines announcement, health and slot limit into an offer."""
 
     def __init__(
         self,
@@ -36,45 +36,49 @@
         self._is_stopping = False
 
     def announce(self, announcement: Announcement) -> dict[str, Any]:
-        """Take an announcement; return the answer's document.
+        """Handle an announcement; return the document of the answer.
 
-        Raises `InvalidInput` if it comes from another upstream, or from a
-        process of it that a newer one has replaced.
+        Raises `InvalidInput` if it comes from another upstream, or from an
+        upstream process that a newer one has replaced.
         """
         with self._lock:
             self._check_identity(announcement)
             self._announcement = announcement
-            self._monitor.meet(announcement)
+            self._monitor.set_upstream(announcement)
             return {
                 'agent_incarnation': self._monitor.incarnation,
                 'earlier_upstreams': self._earlier_upstreams,
             }
 
     def stop_accepting(self) -> None:
-        """Offer nothing from now on: the agent is about to stop."""
+        """Accept no new tasks from now on: the agent is about to stop."""
         self._is_stopping = True
 
     def offer(self) -> UpstreamOffer:
-        """Return what to tell the entries now."""
+        """Return the current offer for the entries."""
         announcement = self._announcement
         if announcement is None:
-            return _offer_nothing('no upstream has announced itself')
+            return _empty_offer('no upstream has announced itself')
         slots = announcement.slots
         limit = self._directory.limit_of(announcement.name)
         if limit is not None:
             slots = min(slots, limit)
-        fitness = self._health.fitness(slots, time.monotonic())
-        reason = self._find_obstacle(announcement, slots) or fitness.reason
+        usable = self._health.usable_slots(slots, time.monotonic())
+        reason = (
+            self._find_blocking_reason(announcement, slots) or usable.reason
+        )
         return UpstreamOffer(
             announcement.name,
-            fitness.slots if not reason else slots,
+            usable.slots if not reason else slots,
             announcement.capacity,
             not reason,
             reason,
             announcement.rack,
         )
 
-    def _find_obstacle(self, announcement: Announcement, slots: int) -> str:
+    def _find_blocking_reason(
+        self, announcement: Announcement, slots: int
+    ) -> str:
         if self._is_stopping:
             return 'the agent is about to stop'
         if announcement.leaving:
@@ -103,10 +107,10 @@
             )
         self._earlier_incarnations[known.incarnation] = None
         self._earlier_upstreams += 1
-        if len(self._earlier_incarnations) > _REMEMBERED_UPSTREAMS:
+        if len(self._earlier_incarnations) > _KEPT_EARLIER_INCARNATIONS:
             oldest = next(iter(self._earlier_incarnations))
             del self._earlier_incarnations[oldest]
 
 
-def _offer_nothing(reason: str) -> UpstreamOffer:
+def _empty_offer(reason: str) -> UpstreamOffer:
     return UpstreamOffer('', 0, TaskSize(0.0, 0, 0), False, reason)
--- a/baobabgap/agent/tests/deployment.py
+++ b/baobabgap/agent/tests/deployment.py
@@ -1,4 +1,4 @@
-"""An agent with a stand-in upstream and fake entries, for tests."""
+"""Test deployment of an agent, a stand-in upstream and fake entries."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 class Deployment:
-    """Starts the parts, and stops whatever is left of them."""
+    """Starts the processes of a deployment, and stops all of them."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         return self.entries[0]
 
     def start_agent(self, http_port: int = 0) -> Agent:
-        """Start an agent that knows the entries."""
+        """Start an agent and pass it the entries' addresses."""
         self.agent = Agent.from_settings(agent_settings(http_port))
         self.agent.start()
         self.apply()
@@ -46,7 +46,7 @@
     def start_upstream(self, relay: Relay | None = None) -> StandInUpstream:
         """Start a stand-in upstream that announces itself to the agent.
 
-        With a relay, the agent reaches it through that.
+        With a relay, it announces the address of the relay.
         """
         settings = settings_from_document(
             {
@@ -67,7 +67,7 @@
         return self.upstream
 
     def apply(self, **state_by_key: Any) -> None:
-        """Tell the agent of all entries and of a configuration."""
+        """Pass the agent all entries and the given configuration."""
         self._version += 1
         self.agent.directory.apply(
             Changes(
@@ -82,7 +82,7 @@
         )
 
     def stop(self) -> None:
-        """Stop all parts."""
+        """Stop all processes."""
         for entry in self.entries:
             entry.acknowledges = True
         self.upstream.stop()
@@ -92,7 +92,7 @@
 
 
 def agent_settings(http_port: int = 0) -> Settings:
-    """Settings of an agent with short pauses."""
+    """Return settings of an agent with short check intervals."""
     return settings_from_document(
         {
             'role': 'agent',
--- a/baobabgap/agent/tests/fake_entry.py
+++ b/baobabgap/agent/tests/fake_entry.py
@@ -1,4 +1,4 @@
-"""A small entry for tests: it records what agents tell it."""
+"""Fake entry that records the messages of agents."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -26,7 +26,7 @@
 
 
 class FakeEntry:
-    """Accepts links of agents, and places what a test tells it to."""
+    """Accepts links from agents and places the tasks that a test gives."""
 
     def __init__(self, name: str = 'entry-a') -> None:
         self.name = name
@@ -50,7 +50,7 @@
 
     @property
     def member(self) -> MemberRecord:
-        """The entry as the control group would list it."""
+        """The entry's record as the control group lists it."""
         address = f'127.0.0.1:{self._listener.port}'
         return MemberRecord(
             self.name, 'entry', self.incarnation, address, 'local-a', True
@@ -63,7 +63,7 @@
         self._pool.shutdown(wait=False)
 
     def drop_link(self) -> None:
-        """Close the link; the agent will dial again."""
+        """Close the link; the agent redials."""
         link = self.link
         if link is not None:
             link.close()
@@ -95,7 +95,7 @@
         return message
 
     def wait_for_link(self) -> Connection:
-        """Wait until an agent is linked and has granted tokens."""
+        """Wait until an agent is linked and has sent a grant."""
         self.wait(lambda: self.link is not None and bool(self.grants))
         link = self.link
         assert link is not None
@@ -110,19 +110,19 @@
         )
 
     def wait_for_results(self, count: int) -> list[TaskResult]:
-        """Wait for that many results, and return all there are."""
+        """Wait for `count` results, and return all that have arrived."""
         self.wait(lambda: len(self.results) >= count)
         return list(self.results)
 
     def wait(self, is_met: Callable[[], bool]) -> None:
-        """Wait for a condition on what was received."""
-        give_up_at = time.monotonic() + WAIT_S
+        """Wait until `is_met` holds; checked after each message."""
+        deadline = time.monotonic() + WAIT_S
         with self._changed:
             while not is_met():
-                left_s = give_up_at - time.monotonic()
-                if left_s <= 0:
-                    raise AssertionError('the agent has not done it in time')
-                self._changed.wait(min(left_s, 0.05))
+                remaining_s = deadline - time.monotonic()
+                if remaining_s <= 0:
+                    raise AssertionError('the condition was not met in time')
+                self._changed.wait(min(remaining_s, 0.05))
 
     def _serve(self, connection: Connection) -> None:
         self.link = connection
@@ -144,5 +144,7 @@
         self, connection: Connection, message: TaskResults
     ) -> None:
         if self.acknowledges:
-            pairs = tuple((each.job, each.task) for each in message.results)
-            connection.send(AcknowledgeResults(pairs))
+            acknowledged = tuple(
+                (each.job, each.task) for each in message.results
+            )
+            connection.send(AcknowledgeResults(acknowledged))
--- a/baobabgap/agent/tests/relay.py
+++ b/baobabgap/agent/tests/relay.py
@@ -1,80 +1,80 @@
-"""A TCP relay that can lose track of the connections that it carries."""
+"""TCP relay that can silently drop the data of open connections."""
 
 from concurrent.futures import ThreadPoolExecutor
 import contextlib
 import socket
 
 
-class _Pair:
-    """One carried connection."""
+class _RelayedConnection:
+    """The two sockets of one relayed connection."""
 
-    def __init__(self, near: socket.socket, far: socket.socket) -> None:
-        self.near = near
-        self.far = far
-        self.mutes_requests = False
-        self.mutes_replies = False
+    def __init__(self, client: socket.socket, server: socket.socket) -> None:
+        self.client = client
+        self.server = server
+        self.drops_requests = False
+        self.drops_replies = False
 
 
 class Relay:
-    """Carries connections to one port; some may go silent for good."""
+    """Relays connections to one port; can drop their data for good."""
 
     def __init__(self) -> None:
         self._target_port = 0
-        self._pairs: list[_Pair] = []
+        self._connections: list[_RelayedConnection] = []
         self._listener = socket.create_server(('127.0.0.1', 0))
         self._pool = ThreadPoolExecutor(64)
         self._pool.submit(self._accept)
 
     @property
     def address(self) -> str:
-        """Where the relay listens."""
+        """The address at which the relay listens."""
         return f'127.0.0.1:{self._listener.getsockname()[1]}'
 
     def connect_to(self, port: int) -> None:
-        """Carry new connections to this port."""
+        """Relay new connections to this port."""
         self._target_port = port
 
-    def mute_requests(self) -> None:
-        """Forward nothing more of what the connections of now send."""
-        for pair in self._pairs:
-            pair.mutes_requests = True
+    def drop_requests(self) -> None:
+        """Drop all further requests on the connections open now."""
+        for connection in self._connections:
+            connection.drops_requests = True
 
-    def mute_replies(self) -> None:
-        """Forward no more replies on the connections of now."""
-        for pair in self._pairs:
-            pair.mutes_replies = True
+    def drop_replies(self) -> None:
+        """Drop all further replies on the connections open now."""
+        for connection in self._connections:
+            connection.drops_replies = True
 
     def close(self) -> None:
         """Close the port and all connections."""
-        _end(self._listener)
-        for pair in self._pairs:
-            _end(pair.near)
-            _end(pair.far)
+        _shut_down(self._listener)
+        for connection in self._connections:
+            _shut_down(connection.client)
+            _shut_down(connection.server)
         self._pool.shutdown(wait=True)
 
     def _accept(self) -> None:
         while True:
-            near, _ = self._listener.accept()
-            far = socket.create_connection(('127.0.0.1', self._target_port))
-            pair = _Pair(near, far)
-            self._pairs.append(pair)
-            self._pool.submit(self._carry_requests, pair)
-            self._pool.submit(self._carry_replies, pair)
-
-    def _carry_requests(self, pair: _Pair) -> None:
-        while data := pair.near.recv(65536):
-            if not pair.mutes_requests:
-                pair.far.sendall(data)
-        pair.far.close()
-
-    def _carry_replies(self, pair: _Pair) -> None:
-        while data := pair.far.recv(65536):
-            if not pair.mutes_replies:
-                pair.near.sendall(data)
-
-
-def _end(closing: socket.socket) -> None:
-    """Close a socket, and wake the thread that waits for it."""
+            client, _ = self._listener.accept()
+            server = socket.create_connection(('127.0.0.1', self._target_port))
+            connection = _RelayedConnection(client, server)
+            self._connections.append(connection)
+            self._pool.submit(self._forward_requests, connection)
+            self._pool.submit(self._forward_replies, connection)
+
+    def _forward_requests(self, connection: _RelayedConnection) -> None:
+        while data := connection.client.recv(65536):
+            if not connection.drops_requests:
+                connection.server.sendall(data)
+        connection.server.close()
+
+    def _forward_replies(self, connection: _RelayedConnection) -> None:
+        while data := connection.server.recv(65536):
+            if not connection.drops_replies:
+                connection.client.sendall(data)
+
+
+def _shut_down(sock: socket.socket) -> None:
+    """Close a socket and wake the thread that blocks on it."""
     with contextlib.suppress(OSError):
-        closing.shutdown(socket.SHUT_RDWR)
-    closing.close()
+        sock.shutdown(socket.SHUT_RDWR)
+    sock.close()
--- a/baobabgap/agent/tests/test_agent.py
+++ b/baobabgap/agent/tests/test_agent.py
@@ -1,4 +1,8 @@
-"""An agent serves entries with a stand-in upstream over loopback."""
+"""Tests of an agent with a stand-in upstream and fake entries.
+
+They guard against tasks that start twice, or that get no result or a wrong
+one, when a process restarts, freezes, fails or loses its connections.
+"""
 
 from dataclasses import replace
 from http.server import BaseHTTPRequestHandler
@@ -54,7 +58,7 @@
         self.assertTrue(all(result.token_returns for result in results))
         self.assert_started_once('t1', 't2')
 
-    def test_resent_on_a_new_link_while_the_first_start_runs(self) -> None:
+    def test_placement_resent_while_running_starts_once(self) -> None:
         self.deployment.upstream.behave(Behaviour(forgetful=True))
         message = self.entry.place('a.1.x', {'t1': {'sleep_ms': 400}})
         self.wait_for_starts(1)
@@ -65,13 +69,13 @@
         self.assertEqual({'t1': TaskOutcome.DONE}, self.outcomes(1))
         self.assert_started_once('t1')
 
-    def test_a_result_waits_for_the_entry_to_come_back(self) -> None:
+    def test_result_is_sent_after_the_entry_reconnects(self) -> None:
         self.entry.place('a.1.x', {'t1': {'sleep_ms': 100}})
         self.wait_for_starts(1)
         self.entry.drop_link()
         self.assertEqual({'t1': TaskOutcome.DONE}, self.outcomes(1))
 
-    def test_an_entry_taken_for_dead_keeps_its_working_link(self) -> None:
+    def test_entry_reported_dead_keeps_its_working_link(self) -> None:
         link = self.entry.wait_for_link()
         entries = self.deployment.entries
         self.deployment.entries = []
@@ -81,7 +85,7 @@
         self.assertIs(link, self.entry.link)
         self.deployment.entries = entries
 
-    def test_an_agent_restarts_while_its_upstream_runs_tasks(self) -> None:
+    def test_restarted_agent_adopts_running_tasks(self) -> None:
         old = self.deployment.agent
         link = self.entry.wait_for_link()
         self.entry.place('a.1.x', {'t1': {'sleep_ms': 900}})
@@ -102,8 +106,8 @@
         )
         self.assert_started_once('t1')
 
-    def test_an_older_agent_process_starts_nothing_more(self) -> None:
-        """As if it had been frozen, and was thawed once replaced."""
+    def test_replaced_agent_process_starts_no_tasks(self) -> None:
+        """The earlier process was suspended and resumes after the new one."""
         old, old_link = self.deployment.agent, self.entry.wait_for_link()
         self.addCleanup(old.kill)
         agent = self.deployment.start_agent()
@@ -123,7 +127,7 @@
         self.assertIs(TaskOutcome.LOST, results[1].outcome)
         self.assert_started_once()
 
-    def test_a_frozen_upstream_loses_its_tasks_and_gets_no_more(self) -> None:
+    def test_frozen_upstream_loses_tasks_and_gets_no_new_ones(self) -> None:
         self.entry.place('a.1.x', {'t1': {'sleep_ms': 300}})
         self.wait_for_starts(1)
         self.deployment.upstream.behave(Behaviour(frozen=True))
@@ -150,9 +154,7 @@
         self.entry.place('a.9.x', {'t9': {'sleep_ms': 1}})
         self.entry.wait(lambda: self.entry.offers[-1].slots == 4)
 
-    def test_a_vanished_upstream_gets_no_more_and_its_tasks_are_lost(
-        self,
-    ) -> None:
+    def test_vanished_upstream_loses_tasks_and_gets_no_new_ones(self) -> None:
         self.entry.place('a.1.x', {'t1': {'sleep_ms': 600_000}})
         self.wait_for_starts(1)
         self.deployment.upstream.behave(Behaviour(vanished=True))
@@ -169,12 +171,12 @@
         self.entry.place('a.2.x', {'t2': {}})
         self.assertIs(TaskOutcome.DONE, self.outcomes(2)['t2'])
 
-    def test_a_leaving_upstream_gets_no_more_at_once(self) -> None:
+    def test_leaving_upstream_gets_no_new_tasks_at_once(self) -> None:
         self.deployment.upstream.stop()
         self.entry.wait_until_accepting(False)
         self.assertIn('leaving', self.entry.offers[-1].reason)
 
-    def test_cancelled_tasks_are_answered(self) -> None:
+    def test_cancelled_tasks_get_results(self) -> None:
         tasks = {f't{number}': {'sleep_ms': 600_000} for number in range(6)}
         self.entry.place('a.1.x', tasks)
         self.wait_for_starts(4)
@@ -195,14 +197,14 @@
         self.deployment.apply(**{'upstream/upstream-1': {'slots': 0}})
         self.entry.wait_until_accepting(False)
 
-    def test_a_planned_stop_ends_what_runs(self) -> None:
+    def test_planned_stop_waits_for_running_tasks(self) -> None:
         self.entry.place('a.1.x', {'t1': {'sleep_ms': 300}})
         self.wait_for_starts(1)
         self.deployment.agent.stop()
         self.assertEqual({'t1': TaskOutcome.DONE}, self.outcomes(1))
         self.assertFalse(self.entry.offers[-1].accepting)
 
-    def test_garbage_and_many_connections_do_no_harm(self) -> None:
+    def test_serves_despite_invalid_input_and_idle_connections(self) -> None:
         address = ('127.0.0.1', self.deployment.agent.http_port)
         sockets = [socket.create_connection(address) for _ in range(64)]
         for number, opened in enumerate(sockets):
@@ -218,9 +220,13 @@
 
 
 class SilentConnectionTest(unittest.TestCase):
-    """Connections go silent for good while new ones work."""
+    """Open connections lose all data while new connections work.
+
+    Replies and start requests then get lost without an error on either
+    side, and the agent must determine the outcome over new connections.
+    """
 
-    def test_what_ended_and_what_never_arrived_is_found_out(self) -> None:
+    def test_finds_ended_tasks_and_undelivered_starts(self) -> None:
         relay = Relay()
         self.addCleanup(relay.close)
         deployment = Deployment(relay=relay)
@@ -229,18 +235,18 @@
         entry.wait_until_accepting()
         entry.place('a.1.x', {'warm': {}, 'warm2': {}})
         entry.wait_for_results(2)
-        relay.mute_replies()
+        relay.drop_replies()
         entry.place('a.2.x', {'ended': {'sleep_ms': 50}})
         entry.wait_for_results(3)
-        relay.mute_requests()
-        entry.place('a.3.x', {'stray': {}})
+        relay.drop_requests()
+        entry.place('a.3.x', {'undelivered': {}})
         results = entry.wait_for_results(4)
         self.assertEqual(
             {
                 'warm': TaskOutcome.DONE,
                 'warm2': TaskOutcome.DONE,
                 'ended': TaskOutcome.DONE,
-                'stray': TaskOutcome.NOT_STARTED,
+                'undelivered': TaskOutcome.NOT_STARTED,
             },
             {result.task: result.outcome for result in results},
         )
@@ -248,8 +254,8 @@
         self.assertTrue(entry.offers[-1].accepting)
 
 
-class _GarbageHandler(BaseHTTPRequestHandler):
-    """Answers every request with a document that means nothing."""
+class _InvalidAnswerHandler(BaseHTTPRequestHandler):
+    """Answers every request with a JSON document of the wrong schema."""
 
     def do_GET(self) -> None:
         body = b'{"leases": 3}'
@@ -259,11 +265,11 @@
         self.wfile.write(body)
 
     def log_message(self, format: str, *values: object) -> None:
-        """Keep quiet."""
+        """Suppress the request log."""
 
 
 class AnnouncementTest(unittest.TestCase):
-    def test_bad_announcements_get_a_clear_answer(self) -> None:
+    def test_invalid_announcements_are_refused_with_a_reason(self) -> None:
         deployment = Deployment()
         self.addCleanup(deployment.stop)
         deployment.entry.wait_until_accepting()
@@ -293,13 +299,13 @@
                 self.assertIn(word, response.document()['error'])
         self.assertTrue(deployment.entry.offers[-1].accepting)
 
-    def test_an_upstream_that_answers_garbage_gets_no_tasks(self) -> None:
+    def test_upstream_with_invalid_answers_gets_no_tasks(self) -> None:
         deployment = Deployment()
         self.addCleanup(deployment.stop)
         entry = deployment.entry
         entry.wait_until_accepting()
         deployment.upstream.behave(Behaviour(vanished=True))
-        server = ThreadingHTTPServer(('127.0.0.1', 0), _GarbageHandler)
+        server = ThreadingHTTPServer(('127.0.0.1', 0), _InvalidAnswerHandler)
         self.addCleanup(server.server_close)
         threading.Thread(target=server.serve_forever, daemon=True).start()
         self.addCleanup(server.shutdown)
--- a/baobabgap/agent/tests/test_batch_log.py
+++ b/baobabgap/agent/tests/test_batch_log.py
@@ -1,4 +1,4 @@
-"""A batch of tasks writes two lines, whatever its size."""
+"""Tests that a batch writes two log lines, whatever its size."""
 
 import unittest
 
@@ -25,7 +25,7 @@
         )
         return PlaceTasks('a.1.x', 'e', 'g', 1, 100, tasks, log_action)
 
-    def test_two_lines_within_the_job_of_the_entry(self) -> None:
+    def test_logs_two_lines_within_the_action_of_the_entry(self) -> None:
         with start_action(action_type='entry:job') as action:
             identifier = action.serialize_task_id().decode()
         written = len(self.logger.messages)
@@ -41,7 +41,7 @@
         self.assertEqual(['a', 'b', 'c'], first['tasks'])
         self.assertEqual((2, 1), (last['done'], last['failed']))
 
-    def test_no_lines_for_a_job_that_is_not_logged(self) -> None:
+    def test_logs_no_lines_without_a_valid_action_identifier(self) -> None:
         for text in ('', 'no identifier', 'a@b@c', 'x@/y'):
             with self.subTest(text):
                 self.assertIsNone(self.log.open(self.message(text)))
--- a/baobabgap/agent/tests/test_ledger.py
+++ b/baobabgap/agent/tests/test_ledger.py
@@ -1,4 +1,8 @@
-"""Tokens, running and queued tasks never exceed the slots for long."""
+"""Tests of the slot accounting.
+
+They guard against tokens and tasks that exceed the slots for long, and
+against slots that stay idle because their tokens were lost.
+"""
 
 import unittest
 
@@ -24,21 +28,21 @@
     @seed(20261203)
     @settings(max_examples=300, deadline=None, database=None)
     @given(_STEPS)
-    def test_out_never_exceeds_slots_but_for_late_arrivals(
+    def test_only_late_arrivals_exceed_the_slots(
         self, steps: list[tuple[str, int]]
     ) -> None:
         ledger = SlotLedger('agent-1')
         ledger.set_slots(4)
         ledger.set_entries(['entry-a', 'entry-b'])
         ledger.redistribute()
-        # Tokens that entries hold, and tasks that arrived without one.
+        # Tokens that entries hold, and tasks that arrived with a void token.
         held = ledger.idle_tokens
         excess = 0
         for step, number in steps:
-            held, excess = _take_step(ledger, step, number, held, excess)
-            out = ledger.idle_tokens + ledger.running + ledger.queued
-            self.assertLessEqual(out, ledger.slots + excess)
-            excess = excess if out > ledger.slots else 0
+            held, excess = _apply_step(ledger, step, number, held, excess)
+            committed = ledger.idle_tokens + ledger.running + ledger.queued
+            self.assertLessEqual(committed, ledger.slots + excess)
+            excess = excess if committed > ledger.slots else 0
             self.assertLessEqual(held, ledger.idle_tokens)
             self.assertGreaterEqual(min(ledger.running, ledger.queued), 0)
             while ledger.queued and ledger.free_slots:
@@ -57,7 +61,7 @@
             favoured.add(max(entries, key=lambda e: grants[e].tokens))
         self.assertEqual(set(entries), favoured)
 
-    def test_busy_slots_bring_a_token_of_the_new_epoch(self) -> None:
+    def test_slot_freed_in_a_new_epoch_returns_one_token(self) -> None:
         ledger = SlotLedger('agent-1')
         ledger.set_slots(1)
         ledger.set_entries(['entry-a'])
@@ -66,10 +70,10 @@
         ledger.begin()
         self.assertEqual(0, ledger.redistribute()['entry-a'].tokens)
         ledger.end_running()
-        self.assertTrue(ledger.give_back_token())
-        self.assertFalse(ledger.give_back_token())
+        self.assertTrue(ledger.return_token())
+        self.assertFalse(ledger.return_token())
 
-    def test_idle_slots_over_the_window_raise_suspicion(self) -> None:
+    def test_slots_idle_for_a_window_count_as_suspected_leak(self) -> None:
         ledger = SlotLedger('agent-1')
         ledger.set_slots(2)
         ledger.set_entries(['entry-a'])
@@ -86,10 +90,10 @@
         self.assertFalse(ledger.suspects_leak(110.2))
 
 
-def _take_step(
+def _apply_step(
     ledger: SlotLedger, step: str, number: int, held: int, excess: int
 ) -> tuple[int, int]:
-    """Do one thing that may happen; return the new counts of the model."""
+    """Apply one step; return the new `held` and `excess` of the model."""
     match step:
         case 'place' if held:
             ledger.receive(ledger.epoch)
@@ -101,10 +105,10 @@
             return held - 1, excess
         case 'end' if ledger.running:
             ledger.end_running()
-            return held + ledger.give_back_token(), excess
+            return held + ledger.return_token(), excess
         case 'drop' if ledger.queued:
             ledger.end_queued()
-            return held + ledger.give_back_token(), excess
+            return held + ledger.return_token(), excess
         case 'epoch':
             ledger.redistribute()
             return ledger.idle_tokens, excess
--- a/baobabgap/agent/tests/test_scheduler.py
+++ b/baobabgap/agent/tests/test_scheduler.py
@@ -1,4 +1,8 @@
-"""The rules of starts, without a network."""
+"""Tests of `TaskScheduler` without a network.
+
+They guard against second starts, and against tasks that are reported as not
+started although they may have been, after resent messages and restarts.
+"""
 
 from collections.abc import Callable
 import time
@@ -6,8 +10,8 @@
 from unittest.mock import patch
 
 from baobabgap.agent._batch_log import BatchLog
-from baobabgap.agent._memory import TaskRecord
 from baobabgap.agent._scheduler import TaskScheduler
+from baobabgap.agent._task_registry import TaskRecord
 from baobabgap.agent._upstream_reports import LeaseListing
 from baobabgap.agent._upstream_reports import LeaseReport
 from baobabgap.jobs import TaskSize
@@ -31,7 +35,7 @@
 
 
 class FakeLink:
-    """Keeps what was sent to the entry."""
+    """Records the messages sent to an entry."""
 
     def __init__(self, name: str = 'entry-a', incarnation: str = 'a1') -> None:
         self.peer = Hello(name, 'entry', incarnation)
@@ -72,11 +76,11 @@
             self.started.append,
             self.stopped.extend,
         )
-        self.accept()
+        self.set_accepting()
         self.link = self.open_link()
 
-    def accept(self, accepting: bool = True, slots: int = 2) -> None:
-        reason = '' if accepting else 'told so'
+    def set_accepting(self, accepting: bool = True, slots: int = 2) -> None:
+        reason = '' if accepting else 'not accepting'
         self.scheduler.set_offer(
             UpstreamOffer('u', slots, _CAPACITY, accepting, reason)
         )
@@ -117,7 +121,7 @@
         )
 
     def test_a_placement_resent_on_a_new_link_starts_once(self) -> None:
-        """While it waits, runs, has ended, and after its acknowledgement."""
+        """Covers queued, running, ended and acknowledged tasks."""
         self.place(self.link, 'r1', 'r2', 'queued')
         link = self.open_link()
         self.place(link, 'r1', 'r2', 'queued')
@@ -134,12 +138,12 @@
         self.assertIs(TaskOutcome.LOST, link.outcomes[-1])
         self.assertEqual(5, self.wasted('duplicate_placement'))
 
-    def test_a_planned_stop_may_leave_out_results_of_dead_entries(
+    def test_outstanding_count_can_leave_out_unlinked_entries(
         self,
     ) -> None:
         self.place(self.link, 'ended', 'running')
         self.end(0)
-        self.scheduler.lose_link(self.link)
+        self.scheduler.remove_link(self.link)
         count = self.scheduler.count_outstanding
         self.assertEqual(2, count())
         self.assertEqual(1, count(with_unlinked=False))
@@ -171,14 +175,14 @@
                 'deadline has passed',
             ),
         }
-        for name, (act, link, reason) in cases.items():
+        for name, (place_task, link, reason) in cases.items():
             with self.subTest(name):
-                act()
+                place_task()
                 self.assertIs(TaskOutcome.NOT_STARTED, link.outcomes[-1])
                 self.assertIn(reason, link.results[-1].value)
                 self.assertEqual(['first'], self.started_tasks())
 
-    def test_a_task_started_for_another_owner_is_not_called_unstarted(
+    def test_task_started_for_another_owner_is_reported_lost(
         self,
     ) -> None:
         self.place(self.link, 'first')
@@ -190,9 +194,11 @@
     def test_a_placement_for_an_earlier_agent_process_never_starts(
         self,
     ) -> None:
-        self.scheduler.adopt(_listing({'earlier': True, 'roving': False}))
+        self.scheduler.adopt(
+            _listing({'earlier': True, 'several-upstreams': False})
+        )
         self.place(self.link, 'running', 't1', agent='earlier')
-        self.place(self.link, 't2', agent='roving')
+        self.place(self.link, 't2', agent='several-upstreams')
         self.assertEqual([], self.started)
         self.assertEqual(
             {
@@ -203,7 +209,7 @@
             {r.task: r.outcome for r in self.link.results},
         )
 
-    def test_questions_about_an_earlier_agent_process_wait(self) -> None:
+    def test_resume_for_an_earlier_agent_process_is_deferred(self) -> None:
         self.scheduler.resume(
             self.link, ResumeTasks('earlier', ((_JOB, 't1'), (_JOB, 'ended')))
         )
@@ -214,14 +220,14 @@
             {r.task: r.outcome for r in self.link.results},
         )
 
-    def test_a_forgetful_upstream_proves_nothing(self) -> None:
+    def test_incomplete_listing_proves_no_task_unstarted(self) -> None:
         self.scheduler.adopt(_listing({'earlier': True}, complete=False))
         self.scheduler.resume(
             self.link, ResumeTasks('earlier', ((_JOB, 't1'),))
         )
         self.assertIs(TaskOutcome.LOST, self.link.outcomes[-1])
 
-    def test_resuming_answers_each_task_as_it_stands(self) -> None:
+    def test_resume_answers_each_task_by_its_state(self) -> None:
         self.place(self.link, 'done', 'running')
         self.end(0)
         link = self.open_link()
@@ -237,13 +243,13 @@
             outcomes,
         )
 
-    def test_a_message_of_an_old_link_is_void(self) -> None:
+    def test_placement_on_a_replaced_link_is_ignored(self) -> None:
         self.open_link()
         self.place(self.link, 't1')
         self.assertEqual([], self.started)
         self.assertEqual(1, self.wasted('old_link'))
 
-    def test_a_void_token_waits_for_a_slot_and_brings_none_back(self) -> None:
+    def test_task_with_void_token_waits_and_returns_no_token(self) -> None:
         old_epoch = self.link.epoch
         self.open_link('entry-b', 'b1')
         self.place(self.link, 't1', 't2', 't3', epoch=old_epoch)
@@ -257,14 +263,14 @@
             [result.token_returns for result in self.link.results],
         )
 
-    def test_declared_resources_are_kept(self) -> None:
+    def test_declared_resources_limit_running_tasks(self) -> None:
         big = TaskSize(3.0, 10, 0)
         self.place(self.link, 't1', 't2', size=big)
         self.assertEqual(['t1'], self.started_tasks())
         self.end(0)
         self.assertEqual(['t1', 't2'], self.started_tasks())
 
-    def test_cancelling_drops_what_waits_and_stops_what_runs(self) -> None:
+    def test_cancel_drops_queued_tasks_and_stops_running_ones(self) -> None:
         self.place(self.link, 't1', 't2', 't3', 't4')
         other = self.open_link('entry-b', 'b1')
         self.scheduler.cancel(other, CancelJobs((_JOB,)))
@@ -277,18 +283,18 @@
         self.assertEqual([f'{_JOB}/t1', f'{_JOB}/t2'], self.stopped)
         self.assertEqual(2, self.wasted('late_cancel'))
 
-    def test_an_upstream_that_accepts_nothing_frees_its_queue(self) -> None:
+    def test_queue_is_dropped_if_the_upstream_accepts_no_tasks(self) -> None:
         self.place(self.link, 't1', 't2', 't3')
-        self.accept(False)
+        self.set_accepting(False)
         self.assertEqual(['t3'], [r.task for r in self.link.results])
         self.place(self.link, 't4')
         self.assertEqual([TaskOutcome.NOT_STARTED] * 2, self.link.outcomes)
         self.end(0)
         self.assertEqual(['t1', 't2'], self.started_tasks())
 
-    def test_a_lost_link_frees_the_queue_but_not_what_runs(self) -> None:
+    def test_lost_link_drops_queued_tasks_but_not_running_ones(self) -> None:
         self.place(self.link, 't1', 't2', 't3')
-        self.scheduler.lose_link(self.link)
+        self.scheduler.remove_link(self.link)
         self.scheduler.tick()
         with patch('time.monotonic', return_value=time.monotonic() + 4.0):
             self.scheduler.tick()
@@ -300,7 +306,7 @@
             {result.task: result.outcome for result in link.results},
         )
 
-    def test_a_restarted_entry_gets_nothing_of_its_predecessor(self) -> None:
+    def test_restarted_entry_gets_no_results_of_its_predecessor(self) -> None:
         self.place(self.link, 't1', 't2', 't3')
         link = self.open_link(incarnation='a2')
         self.end(0)
@@ -308,9 +314,9 @@
         self.assertEqual(['t1', 't2'], self.started_tasks())
         self.assertEqual([], link.results)
 
-    def test_a_late_result_changes_nothing(self) -> None:
+    def test_late_result_is_ignored(self) -> None:
         self.place(self.link, 't1')
-        self.scheduler.give_up_running('silent')
+        self.scheduler.mark_running_lost('silent')
         self.end(0)
         self.assertEqual([TaskOutcome.LOST], self.link.outcomes)
         self.assertEqual(1, self.wasted('late_result'))
