--- a/baobabgap/agent/_agent.py
+++ b/baobabgap/agent/_agent.py
@@ -199,8 +199,8 @@
     def _update_dialers(self) -> None:
         """Dial new entries, and stop dialing entries that are gone.
 
-        The control group may report an entry as dead that only the group
-        can't reach, so a dialer with a working link is kept.
+        The control group may report an entry as dead although only the
+        group can't reach it, so a dialer with a working link is kept.
         """
         addresses = self.directory.entry_addresses()
         with self._dialer_lock:
--- a/baobabgap/agent/_health.py
+++ b/baobabgap/agent/_health.py
@@ -27,9 +27,9 @@
 
     An upstream whose application answers no checks is silent. One that
     fails tasks of several jobs in a row is ejected: it gets no tasks for a
-    backoff period, and then one task at a time until one succeeds. Failed
-    tasks of a single job never cause an ejection. Times are in seconds of
-    the monotonic clock.
+    backoff period, and then one task at a time until one succeeds. All
+    failures of one job count once, so that a single job of faulty tasks
+    ejects no upstream. Times are in seconds of the monotonic clock.
     """
 
     def __init__(self, settings: AgentSettings) -> None:
--- a/baobabgap/agent/_runner.py
+++ b/baobabgap/agent/_runner.py
@@ -1,4 +1,4 @@
-"""Running of tasks on the upstream."""
+"""Execution of tasks on the upstream."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
--- a/baobabgap/agent/_task_registry.py
+++ b/baobabgap/agent/_task_registry.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class TaskRecord:
-    """One placed task; modified only under the scheduler's lock."""
+    """One placed task; only `TaskScheduler` changes its state and result."""
 
     # The job's identifier.
     job: str
@@ -129,10 +129,10 @@
         self.drop(record)
 
     def drop(self, record: TaskRecord) -> None:
-        """Drop a record, but keep whether its task has started.
+        """Drop a record that is no longer needed; keep that it started.
 
-        The upstream keeps its own record, so that a restarted agent still
-        finds the task there.
+        The upstream is not told to drop its own record, so that a
+        restarted agent still finds the task there.
         """
         del self._record_by_lease[record.lease]
         if not record.has_started:
@@ -143,9 +143,9 @@
 
     def pop_acknowledged_leases(self) -> list[str]:
         """Remove and return the leases that the upstream may drop."""
-        taken = self._acknowledged_leases
+        leases = self._acknowledged_leases
         self._acknowledged_leases = []
-        return taken
+        return leases
 
     def requeue_acknowledged_leases(self, leases: Iterable[str]) -> None:
         """Put back leases whose acknowledgement could not be sent."""
--- a/baobabgap/agent/tests/test_agent.py
+++ b/baobabgap/agent/tests/test_agent.py
@@ -1,7 +1,7 @@
 """Tests of an agent with a stand-in upstream and fake entries.
 
 They guard against tasks that start twice, or that get no result or a wrong
-one, when a process restarts, freezes, fails or loses its connections.
+one, when a process restarts, hangs, fails or loses its connections.
 """
 
 from dataclasses import replace
@@ -59,6 +59,11 @@
         self.assert_started_once('t1', 't2')
 
     def test_placement_resent_while_running_starts_once(self) -> None:
+        """Entries resend placements that they had sent before a reconnect.
+
+        The upstream starts repeated leases again here, so that only the
+        agent prevents a second start.
+        """
         self.deployment.upstream.behave(Behaviour(forgetful=True))
         message = self.entry.place('a.1.x', {'t1': {'sleep_ms': 400}})
         self.wait_for_starts(1)
@@ -76,6 +81,7 @@
         self.assertEqual({'t1': TaskOutcome.DONE}, self.outcomes(1))
 
     def test_entry_reported_dead_keeps_its_working_link(self) -> None:
+        """The control group can't reach the entry, but the agent still can."""
         link = self.entry.wait_for_link()
         entries = self.deployment.entries
         self.deployment.entries = []
@@ -86,6 +92,7 @@
         self.deployment.entries = entries
 
     def test_restarted_agent_adopts_running_tasks(self) -> None:
+        """A restarted agent has no records of the tasks that still run."""
         old = self.deployment.agent
         link = self.entry.wait_for_link()
         self.entry.place('a.1.x', {'t1': {'sleep_ms': 900}})
@@ -107,7 +114,7 @@
         self.assert_started_once('t1')
 
     def test_replaced_agent_process_starts_no_tasks(self) -> None:
-        """The earlier process was suspended and resumes after the new one."""
+        """A process that was suspended resumes after it has been replaced."""
         old, old_link = self.deployment.agent, self.entry.wait_for_link()
         self.addCleanup(old.kill)
         agent = self.deployment.start_agent()
@@ -171,7 +178,7 @@
         self.entry.place('a.2.x', {'t2': {}})
         self.assertIs(TaskOutcome.DONE, self.outcomes(2)['t2'])
 
-    def test_leaving_upstream_gets_no_new_tasks_at_once(self) -> None:
+    def test_leaving_upstream_stops_accepting_at_once(self) -> None:
         self.deployment.upstream.stop()
         self.entry.wait_until_accepting(False)
         self.assertIn('leaving', self.entry.offers[-1].reason)
@@ -205,6 +212,7 @@
         self.assertFalse(self.entry.offers[-1].accepting)
 
     def test_serves_despite_invalid_input_and_idle_connections(self) -> None:
+        """Incomplete requests could occupy all threads of the server."""
         address = ('127.0.0.1', self.deployment.agent.http_port)
         sockets = [socket.create_connection(address) for _ in range(64)]
         for number, opened in enumerate(sockets):
--- a/baobabgap/agent/tests/test_scheduler.py
+++ b/baobabgap/agent/tests/test_scheduler.py
@@ -138,9 +138,8 @@
         self.assertIs(TaskOutcome.LOST, link.outcomes[-1])
         self.assertEqual(5, self.wasted('duplicate_placement'))
 
-    def test_outstanding_count_can_leave_out_unlinked_entries(
-        self,
-    ) -> None:
+    def test_outstanding_count_can_leave_out_unlinked_entries(self) -> None:
+        """Otherwise a planned stop waits for entries that have died."""
         self.place(self.link, 'ended', 'running')
         self.end(0)
         self.scheduler.remove_link(self.link)
@@ -182,9 +181,8 @@
                 self.assertIn(reason, link.results[-1].value)
                 self.assertEqual(['first'], self.started_tasks())
 
-    def test_task_started_for_another_owner_is_reported_lost(
-        self,
-    ) -> None:
+    def test_task_started_for_another_owner_is_reported_lost(self) -> None:
+        """If reported as not started, it could be started a second time."""
         self.place(self.link, 'first')
         other = self.open_link('entry-b', 'b1')
         self.place(other, 'first')
@@ -210,6 +208,7 @@
         )
 
     def test_resume_for_an_earlier_agent_process_is_deferred(self) -> None:
+        """Before the listing arrives, nothing proves how the tasks ended."""
         self.scheduler.resume(
             self.link, ResumeTasks('earlier', ((_JOB, 't1'), (_JOB, 'ended')))
         )
@@ -221,6 +220,7 @@
         )
 
     def test_incomplete_listing_proves_no_task_unstarted(self) -> None:
+        """The upstream may have started the task and dropped its lease."""
         self.scheduler.adopt(_listing({'earlier': True}, complete=False))
         self.scheduler.resume(
             self.link, ResumeTasks('earlier', ((_JOB, 't1'),))
@@ -315,6 +315,7 @@
         self.assertEqual([], link.results)
 
     def test_late_result_is_ignored(self) -> None:
+        """The task ends at the upstream after it was reported as lost."""
         self.place(self.link, 't1')
         self.scheduler.mark_running_lost('silent')
         self.end(0)
