--- a/baobabgap/entry/__init__.py
+++ b/baobabgap/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry role: admission, claims, placement and answers."""
+"""The entry role: admits, claims and places jobs and answers them."""
 
 from baobabgap.entry._entry import Entry
 
--- a/baobabgap/entry/_active_job.py
+++ b/baobabgap/entry/_active_job.py
@@ -1,4 +1,4 @@
-"""One job in progress at the entry that owns its claim."""
+"""The state of one job at the entry that owns its claim."""
 
 from collections.abc import Iterable
 from concurrent.futures import Future
@@ -16,34 +16,34 @@
 
 @dataclass(slots=True)
 class PendingTask:
-    """One task of an active job and where it stands."""
+    """One task of an active job and its placement."""
 
-    # What the client asked for.
+    # The task as its client submitted it.
     submission: TaskSubmission
-    # Expected run time in milliseconds, learned or declared.
+    # Expected run time in milliseconds, from declared and learned times.
     expected_ms: float
-    # The agent it was handed to, or empty while it waits.
+    # The agent that it is placed on, or empty while it waits.
     agent: str = ''
     # The incarnation of that agent.
     agent_incarnation: str = ''
-    # Monotonic seconds when it was handed over.
+    # Monotonic seconds of its placement.
     placed_at: float = 0.0
 
 
 @dataclass(slots=True)
 class ActiveJob:
-    """A claimed job from admission to its one answer.
+    """A job from its admission to its only answer.
 
-    The aggregate keeps these rules: every task's first result counts and
-    later ones don't; a whole answer has each value in its place; after
-    the end nothing changes and nothing is taken from it.
+    Invariants: only the first result of a task counts; a complete answer
+    has the values in the order of submission; an ended job doesn't change
+    and places no tasks.
     """
 
     # The job as its client submitted it.
     submission: JobSubmission
-    # The name of the client.
+    # The client that submitted it.
     client: str
-    # Tells this content from any other under the same identifier.
+    # Digest of the content, to detect reuse of the identifier.
     digest: bytes
     # Fencing token of the claim.
     token: int
@@ -51,28 +51,28 @@
     arrived_at: float
     # Monotonic seconds by which the client wants the answer.
     deadline_at: float
-    # Where the job's events are logged.
+    # Logs the events of the job.
     log: JobLog
-    # Where the answer goes.
+    # Completes with the answer.
     future: Future[JobAnswer]
     # Expected run time of the longest task, in milliseconds.
     longest_expected_ms: float
-    # Tasks that wait for a token, the longest last.
+    # Tasks that wait for placement, the longest last.
     waiting: list[PendingTask]
-    # Tasks handed to an agent and not yet ended, by their identifier.
+    # Placed tasks that have not ended, by identifier.
     placed_by_task: dict[str, PendingTask] = field(default_factory=dict)
-    # Values of ended tasks by their identifier.
+    # Values of completed tasks, by identifier.
     value_by_task: dict[str, Any] = field(default_factory=dict)
     # Whether this entry is known to own the job. Until then another entry
-    # may run it, so that nothing can be told of it.
+    # may run it, and whether any task has run is unknown.
     is_claimed: bool = False
-    # Whether the job is to end as soon as it is claimed.
-    is_cancel_wanted: bool = False
-    # Ends once the outcome of the claim is known here.
+    # Whether to cancel the job as soon as it is claimed.
+    is_cancel_requested: bool = False
+    # Completes once the outcome of the claim is known.
     claim_settled: Future[None] = field(default_factory=Future)
     # Whether any task may have started.
     may_have_started: bool = False
-    # Whether the one answer has been given.
+    # Whether the job has ended; it then changes no more.
     ended: bool = False
 
     @classmethod
@@ -86,7 +86,7 @@
         log: JobLog,
         expected_ms: list[float],
     ) -> 'ActiveJob':
-        """Build the job with all of its tasks waiting."""
+        """Create a job with all of its tasks waiting."""
         waiting = [
             PendingTask(task, task_ms)
             for task, task_ms in zip(
@@ -114,7 +114,7 @@
 
     @property
     def ran(self) -> Ran:
-        """Whether any task has run, as far as this entry can tell."""
+        """Whether any task has run, as far as this entry knows."""
         if self.value_by_task:
             return Ran.YES
         is_unknown = self.may_have_started or not self.is_claimed
@@ -123,7 +123,7 @@
     def place_next(
         self, agent: str, agent_incarnation: str, now: float
     ) -> PendingTask:
-        """Take the longest waiting task and note where it goes."""
+        """Assign the longest waiting task to an agent."""
         task = self.waiting.pop()
         task.agent = agent
         task.agent_incarnation = agent_incarnation
@@ -132,8 +132,8 @@
         self.may_have_started = True
         return task
 
-    def take_back(self, identifier: str) -> PendingTask | None:
-        """Let a placed task that was proved unstarted wait again."""
+    def requeue(self, identifier: str) -> PendingTask | None:
+        """Return a placed task that did not start to the waiting tasks."""
         task = self.placed_by_task.pop(identifier, None)
         if task is None:
             return None
@@ -145,7 +145,7 @@
         return task
 
     def record_value(self, identifier: str, value: Any) -> bool:
-        """Keep the first value of a task; tell whether it was the first."""
+        """Record a task's first value; False for any later one."""
         if self.placed_by_task.pop(identifier, None) is None:
             return False
         self.value_by_task[identifier] = value
@@ -155,8 +155,8 @@
         """Tell whether every task has its value."""
         return len(self.value_by_task) == len(self.submission.tasks)
 
-    def whole_answer(self) -> JobAnswer:
-        """Return all values in the order of submission."""
+    def build_answer(self) -> JobAnswer:
+        """Build the answer, with all values in the order of submission."""
         results = tuple(
             TaskAnswer(task.identifier, self.value_by_task[task.identifier])
             for task in self.submission.tasks
@@ -164,7 +164,7 @@
         return JobAnswer(self.identifier, results)
 
     def agents(self) -> Iterable[str]:
-        """Return the agents that still hold tasks of this job."""
+        """Return the agents with placed tasks of this job."""
         return {task.agent for task in self.placed_by_task.values()}
 
 
--- a/baobabgap/entry/_admission.py
+++ b/baobabgap/entry/_admission.py
@@ -1,8 +1,8 @@
-"""Decides whether to take a job, before anything is claimed for it.
+"""Decides whether to admit a job, before it is claimed.
 
-A job is refused at once if it can never run, if its team is unknown or
-over its quota, or if the work ahead of it leaves no time to answer it by
-its deadline.
+A job is refused if it can never run, if its team is unknown or over its
+quota, or if the work ahead of it leaves too little time to meet its
+deadline.
 """
 
 from collections import deque
@@ -21,72 +21,72 @@
 from baobabgap.jobs import JobSubmission
 from baobabgap.jobs import Ran
 
-_NO_UPSTREAM_PAUSE_S: Final = 1.0
-_SHORTEST_PAUSE_S: Final = 0.1
+_NO_UPSTREAM_RETRY_AFTER_S: Final = 1.0
+_MIN_RETRY_AFTER_S: Final = 0.1
 _RECENT_JOBS: Final = 256
 _JOBS_BETWEEN_SORTS: Final = 16
-# The share of jobs whose patience is not waited for.
-_IMPATIENT_SHARE: Final = 0.2
+# Share of recent jobs that may have less patience than the queue's wait.
+_PATIENCE_QUANTILE: Final = 0.2
 
 
-class Patience:
-    """How long most of the recent jobs could wait for a slot.
+class RecentPatience:
+    """Tracks how long recent jobs can wait for a slot (their patience).
 
-    Under overload the jobs that can wait long would otherwise fill the
-    queue, so that only they are served and all short ones refused. No job
-    is let in behind a wait that most of the others could not stand; it is
-    told when to come back instead.
+    Under overload, jobs with long deadlines would otherwise fill the queue,
+    and all jobs with short ones would be refused. Therefore a job is not
+    admitted if the expected wait exceeds the patience of most other jobs;
+    its refusal says when to retry.
     """
 
     def __init__(self) -> None:
         self._recent_ms: deque[float] = deque(maxlen=_RECENT_JOBS)
-        self._until_sorted = 0
-        self._common_ms = math.inf
+        self._additions_until_sort = 0
+        self._quantile_ms = math.inf
 
     def add(self, patience_ms: float) -> None:
-        """Take in how many milliseconds one job could wait."""
+        """Add the patience of one job, in milliseconds."""
         self._recent_ms.append(patience_ms)
-        self._until_sorted -= 1
-        if self._until_sorted < 0:
-            self._until_sorted = _JOBS_BETWEEN_SORTS
+        self._additions_until_sort -= 1
+        if self._additions_until_sort < 0:
+            self._additions_until_sort = _JOBS_BETWEEN_SORTS
             ordered = sorted(self._recent_ms)
-            self._common_ms = ordered[int(len(ordered) * _IMPATIENT_SHARE)]
+            self._quantile_ms = ordered[int(len(ordered) * _PATIENCE_QUANTILE)]
 
-    def common_ms(self) -> float:
-        """Return the wait that all but the least patient jobs stand."""
-        return self._common_ms
+    def quantile_ms(self) -> float:
+        """Return the wait in milliseconds that most recent jobs can bear."""
+        return self._quantile_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """What the deployment can do, and what it has to do already."""
+    """The capacity, the present load, and the size of a new job."""
 
-    # Slots of all upstreams that take new tasks.
+    # Slots of all upstreams that accept new tasks.
     slots: int
-    # Whether each task of the job fits into some upstream.
+    # Whether every task of the job fits into some upstream.
     tasks_fit: bool
     # Whether any agent has a link to this entry.
     has_agents: bool
-    # Milliseconds that a new task would wait for a slot, as far as the
-    # work at all entries is known.
+    # Estimated wait of a new task for a slot in milliseconds, from the known
+    # work of all entries.
     wait_ms: float
     # Expected run time of all tasks of the job, in milliseconds.
     job_ms: float
     # Expected run time of the job's longest task, in milliseconds.
-    longest_ms: float
+    longest_task_ms: float
 
     @property
-    def alone_ms(self) -> float:
-        """Milliseconds that the job would take with all slots for it."""
-        return max(self.longest_ms, self.job_ms / self.slots)
+    def unloaded_ms(self) -> float:
+        """Milliseconds that the job would take with all slots to itself."""
+        return max(self.longest_task_ms, self.job_ms / self.slots)
 
 
 class Admission:
-    """The entry's decision about new jobs."""
+    """Decides about new jobs."""
 
     def __init__(self, quotas: QuotaLedger) -> None:
         self._quotas = quotas
-        self._patience = Patience()
+        self._patience = RecentPatience()
 
     def decide(
         self,
@@ -106,25 +106,27 @@
             return _refuse(
                 FailureCode.NO_UPSTREAM,
                 'no upstream takes tasks at present',
-                _NO_UPSTREAM_PAUSE_S,
+                _NO_UPSTREAM_RETRY_AFTER_S,
             )
         if not workload.tasks_fit:
             return _refuse(
                 FailureCode.NEVER_FITS,
                 'a task is larger than every upstream',
             )
-        if workload.alone_ms > 2 * submission.deadline_ms:
-            # Waiting for less load would not help.
+        if workload.unloaded_ms > 2 * submission.deadline_ms:
+            # A retry under lower load would not succeed either.
             return _refuse(
                 FailureCode.DEADLINE,
                 'even alone the job would take more than twice its deadline',
             )
-        late_s = self._lateness_s(submission, workload, configuration)
-        if late_s > 0:
+        excess_wait_s = self._excess_wait_s(
+            submission, workload, configuration
+        )
+        if excess_wait_s > 0:
             return _refuse(
                 FailureCode.OVERLOADED,
                 'the work ahead leaves no time to meet the deadline',
-                max(late_s, _SHORTEST_PAUSE_S),
+                max(excess_wait_s, _MIN_RETRY_AFTER_S),
             )
         wait_s = self._quotas.spend(
             submission.team, len(submission.tasks), quota, now
@@ -137,18 +139,18 @@
             )
         return Success(None)
 
-    def _lateness_s(
+    def _excess_wait_s(
         self,
         submission: JobSubmission,
         workload: Workload,
         configuration: Configuration,
     ) -> float:
-        """Return by how many seconds too long the job would wait."""
+        """Return by how many seconds the expected wait is too long."""
         slack = configuration.policy.admission_slack
         allowed_ms = submission.deadline_ms * slack
-        own_patience_ms = max(allowed_ms - workload.alone_ms, 0.0)
+        own_patience_ms = max(allowed_ms - workload.unloaded_ms, 0.0)
         self._patience.add(own_patience_ms)
-        patience_ms = min(own_patience_ms, self._patience.common_ms())
+        patience_ms = min(own_patience_ms, self._patience.quantile_ms())
         return (workload.wait_ms - patience_ms) / 1000
 
 
--- a/baobabgap/entry/_agent_links.py
+++ b/baobabgap/entry/_agent_links.py
@@ -1,4 +1,4 @@
-"""The links to the agents, and the results that are to be acknowledged."""
+"""The links to the agents, and the results to acknowledge on them."""
 
 from baobabgap.messages import AcknowledgeResults
 from baobabgap.transport import Connection
@@ -7,7 +7,7 @@
 
 
 class AgentLinks:
-    """The present link to each agent.
+    """The current link to each agent.
 
     The caller holds the dispatcher's lock.
     """
@@ -17,11 +17,11 @@
         self._unacknowledged_by_agent: dict[str, list[_TaskKey]] = {}
 
     def add(self, link: Connection) -> None:
-        """Use a new link; it replaces an earlier one to the agent."""
+        """Register a link, replacing an earlier one to the agent."""
         self._link_by_agent[link.peer.name] = link
 
     def remove(self, link: Connection) -> bool:
-        """Give up a link; False if a newer one has replaced it."""
+        """Remove a link; False if a newer one has replaced it."""
         if not self.is_current(link):
             return False
         del self._link_by_agent[link.peer.name]
@@ -29,17 +29,17 @@
         return True
 
     def is_current(self, link: Connection) -> bool:
-        """Tell whether this is the link that is in use."""
+        """Tell whether this is the current link to its agent."""
         return self._link_by_agent.get(link.peer.name) is link
 
     def send(self, agent: str, message: object) -> None:
-        """Send to an agent; dropped while there is no link to it."""
+        """Send a message to an agent; dropped if there is no link to it."""
         link = self._link_by_agent.get(agent)
         if link is not None:
             link.send(message)
 
-    def note_result(self, agent: str, job: str, task: str) -> None:
-        """Remember to acknowledge a result."""
+    def record_result(self, agent: str, job: str, task: str) -> None:
+        """Record a result that is to be acknowledged."""
         results = self._unacknowledged_by_agent.setdefault(agent, [])
         results.append((job, task))
 
--- a/baobabgap/entry/_deadlines.py
+++ b/baobabgap/entry/_deadlines.py
@@ -1,4 +1,4 @@
-"""When to look at each active job again, because time runs out for it."""
+"""Schedules the deadline checks of active jobs."""
 
 import heapq
 from itertools import count
@@ -8,12 +8,12 @@
 
 
 class Deadlines:
-    """The active jobs in the order in which they have to be given up.
+    """The active jobs, ordered by the time of their next deadline check.
 
-    A job of which nothing has started is given up as soon as half the
-    expected run time of its longest task no longer fits before its
-    deadline, so that the client hears of it while it can still do
-    something else; any other job at its deadline.
+    A job without a started task expires as soon as half the expected run
+    time of its longest task no longer fits before its deadline, so that
+    the client learns of it early enough to react. Any other job expires at
+    its deadline.
     """
 
     def __init__(self) -> None:
@@ -21,11 +21,11 @@
         self._sequence = count()
 
     def add(self, job: ActiveJob) -> None:
-        """Watch a job from now on."""
-        self._push(_hopeless_at(job), job)
+        """Schedule the first check of a job."""
+        self._push(_latest_start_at(job), job)
 
     def take_due(self, now: float) -> list[ActiveJob]:
-        """Return the jobs that have to be given up now."""
+        """Remove and return the jobs that have expired."""
         due = []
         while self._heap and self._heap[0][0] <= now:
             job = heapq.heappop(self._heap)[2]
@@ -38,12 +38,12 @@
         return due
 
     def next_at(self) -> float:
-        """Return the monotonic time at which to look again."""
+        """Return the monotonic time of the next check."""
         return self._heap[0][0] if self._heap else math.inf
 
     def _push(self, at: float, job: ActiveJob) -> None:
         heapq.heappush(self._heap, (at, next(self._sequence), job))
 
 
-def _hopeless_at(job: ActiveJob) -> float:
+def _latest_start_at(job: ActiveJob) -> float:
     return job.deadline_at - job.longest_expected_ms / 2000
--- a/baobabgap/entry/_entry.py
+++ b/baobabgap/entry/_entry.py
@@ -1,4 +1,4 @@
-"""The entry role: takes jobs over HTTP and answers each of them once."""
+"""The entry role: accepts jobs over HTTP and answers each of them once."""
 
 from concurrent.futures import Future
 from concurrent.futures import ThreadPoolExecutor
@@ -36,27 +36,30 @@
 from baobabgap.transport import PROCESS_TRAFFIC
 from baobabgap.web import WebServer
 
-_MOST_TASKS_OF_THE_POOL: Final = 16_384
-_CHECK_PAUSE_S: Final = 0.25
-_SHORTEST_PAUSE_S: Final = 0.01
-_DRAIN_CHECK_S: Final = 0.05
+# Links and background loops each occupy threads while they last.
+_MAX_THREADS: Final = 16_384
+_CHECK_INTERVAL_S: Final = 0.25
+_MIN_CHECK_PAUSE_S: Final = 0.01
+_DRAIN_POLL_S: Final = 0.05
 
 
 class Entry:
     """One entry process; it serves the HTTP API as an `EntryService`."""
 
     def __init__(self, settings: Settings) -> None:
-        own = settings.entry
+        entry_settings = settings.entry
         self.metrics: Final = Metrics()
         self._settings = settings
         self._incarnation = uuid4().hex[:16]
-        self._pool = ThreadPoolExecutor(_MOST_TASKS_OF_THE_POOL)
+        self._executor = ThreadPoolExecutor(_MAX_THREADS)
         self._stopping = threading.Event()
         self._draining = threading.Event()
         self._state_by_key: dict[str, Any] = {}
-        self._kept = KeptAnswers(own.kept_answers, own.kept_values)
+        self._kept = KeptAnswers(
+            entry_settings.kept_answers, entry_settings.kept_values
+        )
         self._quotas = QuotaLedger()
-        self._joins = Joins(own.owner_return_s)
+        self._joins = Joins(entry_settings.owner_return_s)
         timing = LinkTiming(
             settings.links.heartbeat_s, settings.links.silence_s
         )
@@ -65,7 +68,7 @@
             settings.listen.internal_port,
             self._hello,
             timing,
-            self._pool,
+            self._executor,
             self._serve_link,
             _log_link_error,
         )
@@ -74,12 +77,12 @@
             'entry',
             self._incarnation,
             self._address,
-            self._pool,
-            self._take_changes,
+            self._executor,
+            self._apply_changes,
             ('entry', 'agent'),
         )
         self._dispatcher = Dispatcher(
-            own,
+            entry_settings,
             settings.place.availability_zone,
             self._incarnation,
             self.metrics,
@@ -99,7 +102,7 @@
         self._dialers = PeerDialers(
             self._hello(),
             timing,
-            self._pool,
+            self._executor,
             self._peer_sessions.serve,
             _log_link_error,
         )
@@ -107,35 +110,37 @@
             settings.listen.host,
             settings.listen.http_port,
             create_application(
-                self, own.largest_body_bytes, own.waiting_requests
+                self,
+                entry_settings.largest_body_bytes,
+                entry_settings.waiting_requests,
             ),
-            own.http_threads,
-            own.largest_body_bytes,
+            entry_settings.http_threads,
+            entry_settings.largest_body_bytes,
         )
-        self._show_gauges()
+        self._register_gauges()
 
     @classmethod
     def from_settings(cls, settings: Settings) -> 'Entry':
-        """Build an entry and bind its ports."""
+        """Create an entry and bind its ports."""
         return cls(settings)
 
     @property
     def internal_port(self) -> int:
-        """Where agents and other entries dial."""
+        """The TCP port for agents and other entries."""
         return self._listener.port
 
     @property
     def http_port(self) -> int:
-        """Where callers, the balancer and operators connect."""
+        """The TCP port for callers, the load balancer and operators."""
         return self._web.port
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         self._listener.start()
         self._control.start()
-        self._web.start(self._pool)
-        self._pool.submit(self._report_loop)
-        self._pool.submit(self._check_loop)
+        self._web.start(self._executor)
+        self._executor.submit(self._report_loop)
+        self._executor.submit(self._check_loop)
         log_event(
             'entry_started',
             internal_port=self.internal_port,
@@ -143,14 +148,14 @@
         )
 
     def stop(self) -> None:
-        """Stop as planned: drain, answer what is in progress, leave."""
+        """Drain, wait for the active jobs, and shut down."""
         self.drain()
         time.sleep(self._settings.entry.drain_grace_s)
         self._submissions.is_draining = True
         self._wait_for_jobs()
         self._web.stop()
         self._stopping.set()
-        self._dispatcher.changed.set()
+        self._dispatcher.state_changed.set()
         self._dispatcher.acknowledge_results()
         self._control.stop()
         self._dialers.stop()
@@ -159,15 +164,17 @@
 
     def _wait_for_jobs(self) -> None:
         limit_at = time.monotonic() + self._settings.entry.drain_limit_s
-        while self._dispatcher.active_jobs() and time.monotonic() < limit_at:
-            time.sleep(_DRAIN_CHECK_S)
+        while (
+            self._dispatcher.active_job_count() and time.monotonic() < limit_at
+        ):
+            time.sleep(_DRAIN_POLL_S)
 
     # The service behind the HTTP API
 
     def submit(
         self, submission: JobSubmission, log_action: str
     ) -> Future[JobAnswer]:
-        """Take a job; see `Submissions.submit`."""
+        """Submit a job; see `Submissions.submit`."""
         return self._submissions.submit(submission, log_action)
 
     def wait_for_claim(self, identifier: str, timeout_s: float) -> None:
@@ -183,31 +190,31 @@
         return self._submissions.cancel(identifier)
 
     def is_accepting(self) -> bool:
-        """Answer the balancer's check."""
+        """Whether the load balancer should send new requests here."""
         return not self._draining.is_set()
 
     def is_ready(self) -> bool:
-        """Tell whether a job would find control and an upstream."""
+        """Tell whether control and an upstream are available for jobs."""
         return (
             self.is_accepting()
             and not self._control.is_superseded
             and self._control.is_connected
-            and self._dispatcher.has_heard_configuration
+            and self._dispatcher.has_configuration
             and self._dispatcher.pool.accepting_slots() > 0
         )
 
     def put_ticket(
         self, number: int, state_by_key: dict[str, Any]
     ) -> Future[TicketOutcome]:
-        """Hand a change ticket to the control group."""
+        """Submit a change ticket to the control group."""
         return self._control.put_ticket(number, state_by_key)
 
     def query_control(self, topic: str) -> Future[Any]:
-        """Fetch an operators' page from the control group."""
+        """Query a page for operators from the control group."""
         return self._control.query(topic)
 
     def drain(self) -> None:
-        """Turn the balancer's check red."""
+        """Fail the load balancer's health check from now on."""
         if not self._draining.is_set():
             self._draining.set()
             log_event('draining')
@@ -240,7 +247,7 @@
                     peer=link.peer.name,
                 )
 
-    def _take_changes(self, changes: Changes) -> None:
+    def _apply_changes(self, changes: Changes) -> None:
         if changes.from_version == 0:
             self._state_by_key.clear()
         for item in changes.configuration:
@@ -250,49 +257,51 @@
                 changes.to_version, self._state_by_key
             )
             self._dispatcher.set_configuration(configuration)
-        self._dialers.take_members(changes)
+        self._dialers.update_members(changes)
 
-    # Regular work
+    # Periodic work
 
     def _report_loop(self) -> None:
-        """Tell the peers about changes, a little apart."""
+        """Report state changes to the peers, at a limited rate."""
         while not self._stopping.is_set():
-            self._dispatcher.changed.wait(_CHECK_PAUSE_S)
-            self._dispatcher.changed.clear()
+            self._dispatcher.state_changed.wait(_CHECK_INTERVAL_S)
+            self._dispatcher.state_changed.clear()
             with self._dispatcher.lock:
                 policy = self._dispatcher.configuration.policy
-                if self._dispatcher.balancer.peers() > 0:
+                if self._dispatcher.balancer.peer_count() > 0:
                     now = time.monotonic()
                     state = self._dispatcher.state(now)
                     self._dispatcher.balancer.report(state, now, policy)
             self._stopping.wait(policy.report_pause_ms / 1000)
 
     def _check_loop(self) -> None:
-        """Watch deadlines, upstreams and lost peers."""
+        """Check deadlines, upstreams and lost links."""
         checked_at = 0.0
         while not self._stopping.is_set():
             now = time.monotonic()
             next_deadline = self._dispatcher.expire(now)
-            if now - checked_at >= _CHECK_PAUSE_S:
+            if now - checked_at >= _CHECK_INTERVAL_S:
                 checked_at = now
                 self._check(now)
-            pause_s = min(next_deadline - time.monotonic(), _CHECK_PAUSE_S)
-            self._stopping.wait(max(pause_s, _SHORTEST_PAUSE_S))
+            pause_s = min(next_deadline - time.monotonic(), _CHECK_INTERVAL_S)
+            self._stopping.wait(max(pause_s, _MIN_CHECK_PAUSE_S))
 
     def _check(self, now: float) -> None:
         self._dispatcher.acknowledge_results()
-        self._dispatcher.give_up_on_lost_agents(now)
-        self._dispatcher.watch_upstreams(now)
+        self._dispatcher.fail_jobs_of_lost_agents(now)
+        self._dispatcher.check_upstreams(now)
         self._joins.give_up(now)
         with self._dispatcher.lock:
             demand = self._quotas.report(now)
             if demand is not None:
-                self._dispatcher.balancer.send_all(demand)
+                self._dispatcher.balancer.broadcast(demand)
 
-    def _show_gauges(self) -> None:
+    def _register_gauges(self) -> None:
         dispatcher = self._dispatcher
         self.metrics.add_source(PROCESS_TRAFFIC.as_metrics)
-        self.metrics.gauge('baobabgap_active_jobs', dispatcher.active_jobs)
+        self.metrics.gauge(
+            'baobabgap_active_jobs', dispatcher.active_job_count
+        )
         self.metrics.gauge(
             'baobabgap_idle_tokens', dispatcher.pool.idle_tokens
         )
--- a/baobabgap/entry/_failures.py
+++ b/baobabgap/entry/_failures.py
@@ -1,4 +1,4 @@
-"""The ways in which a job ends without a whole answer."""
+"""The failures with which a job can end."""
 
 from typing import Final
 
@@ -9,11 +9,11 @@
 from baobabgap.jobs import Ran
 from baobabgap.messages import TaskResult
 
-_SHORT_PAUSE_S: Final = 1.0
+_RETRY_AFTER_S: Final = 1.0
 
 
 def cancelled(job: ActiveJob) -> JobFailure:
-    """Return the end of a job that its client has cancelled."""
+    """Return the failure of a job that its client cancelled."""
     return JobFailure(
         code=FailureCode.CANCELLED,
         message='cancelled by its client',
@@ -23,8 +23,8 @@
     )
 
 
-def out_of_time(job: ActiveJob, retry_after_s: float) -> JobFailure:
-    """Return the end of a job that can't meet its deadline."""
+def deadline_exceeded(job: ActiveJob, retry_after_s: float) -> JobFailure:
+    """Return the failure of a job that can't meet its deadline."""
     if not job.is_claimed:
         return JobFailure(
             code=FailureCode.CONTROL_UNAVAILABLE,
@@ -32,7 +32,7 @@
             step='claim',
             peer='',
             ran=Ran.UNKNOWN,
-            retry_after_s=_SHORT_PAUSE_S,
+            retry_after_s=_RETRY_AFTER_S,
         )
     has_not_run = job.ran is Ran.NO
     return JobFailure(
@@ -46,7 +46,7 @@
 
 
 def task_failed(result: TaskResult, agent: str) -> JobFailure:
-    """Return the end of a job with a task that the upstream failed."""
+    """Return the failure of a job with a task that failed upstream."""
     return JobFailure(
         code=FailureCode.TASK_FAILED,
         message=f'task {result.task}: {result.value}',
@@ -56,11 +56,13 @@
     )
 
 
-def task_lost(job: ActiveJob, task: str, agent: str, why: str) -> JobFailure:
-    """Return the end of a job with a task of unknown outcome."""
+def task_lost(
+    job: ActiveJob, task: str, agent: str, reason: str
+) -> JobFailure:
+    """Return the failure of a job with a task of unknown outcome."""
     return JobFailure(
         code=FailureCode.TASK_LOST,
-        message=f'task {task}: {why}',
+        message=f'task {task}: {reason}',
         step='run',
         peer=agent,
         ran=Ran.YES if job.value_by_task else Ran.UNKNOWN,
@@ -68,7 +70,7 @@
 
 
 def conflict(owner: str) -> JobFailure:
-    """Return the failure of a second job under one identifier."""
+    """Return the failure of another job under a used identifier."""
     return JobFailure(
         code=FailureCode.CONFLICT,
         message='this identifier was used for a job with other content',
@@ -79,7 +81,7 @@
 
 
 def window_passed() -> JobFailure:
-    """Return the failure of a job that may have been forgotten."""
+    """Return the failure of a job whose claim may have been dropped."""
     return JobFailure(
         code=FailureCode.WINDOW_PASSED,
         message='this job is older than what is remembered here',
@@ -90,7 +92,7 @@
 
 
 def unknown_job() -> JobFailure:
-    """Return the failure to find a job that nobody has claimed."""
+    """Return the failure of a request for a job without a claim."""
     return JobFailure(
         code=FailureCode.UNKNOWN_JOB,
         message='no such job',
@@ -101,10 +103,9 @@
 
 
 def control_unavailable(error: BaseException) -> JobFailure:
-    """Return the failure of a job whose claim was not settled.
+    """Return the failure of a job whose claim has an unknown outcome.
 
-    This entry starts nothing of it; but whether another one owns the job
-    can't be told.
+    This entry starts none of its tasks, but another entry may own the job.
     """
     return JobFailure(
         code=FailureCode.CONTROL_UNAVAILABLE,
@@ -112,15 +113,15 @@
         step='claim',
         peer=error.peer if isinstance(error, BaobabgapError) else '',
         ran=Ran.UNKNOWN,
-        retry_after_s=_SHORT_PAUSE_S,
+        retry_after_s=_RETRY_AFTER_S,
     )
 
 
 def configuration_unknown() -> JobFailure:
-    """Return the refusal of an entry that control hasn't reached yet.
+    """Return the refusal of an entry without a configuration.
 
-    Whether the job's team has a quota can't be told, so this must not
-    read like the lasting refusal of an unknown team.
+    The entry can't tell whether the job's team has a quota, so the refusal
+    must differ from the permanent one of an unknown team.
     """
     return JobFailure(
         code=FailureCode.CONTROL_UNAVAILABLE,
@@ -128,17 +129,17 @@
         step='admit',
         peer='',
         ran=Ran.NO,
-        retry_after_s=_SHORT_PAUSE_S,
+        retry_after_s=_RETRY_AFTER_S,
     )
 
 
 def draining() -> JobFailure:
-    """Return the refusal of an entry that is about to stop."""
+    """Return the refusal of an entry that is draining."""
     return JobFailure(
         code=FailureCode.DRAINING,
         message='this entry is about to stop; try another one',
         step='admit',
         peer='',
         ran=Ran.NO,
-        retry_after_s=_SHORT_PAUSE_S,
+        retry_after_s=_RETRY_AFTER_S,
     )
--- a/baobabgap/entry/_job_log.py
+++ b/baobabgap/entry/_job_log.py
@@ -1,4 +1,4 @@
-"""The log of one job, as a branch of the action tree of its request."""
+"""Logs one job as a branch of the action tree of its request."""
 
 from typing import Any
 
@@ -10,9 +10,9 @@
 class JobLog:
     """Logs the events of one job at this entry.
 
-    The branch begins when the job is admitted and ends with its answer;
-    each agent that gets tasks continues it under an identifier of its
-    own, so that the events of all processes form one tree.
+    The branch starts when the job is admitted and ends with its answer.
+    Each agent that receives tasks continues it under a task identifier of
+    its own, so that the events of all processes form one tree.
     """
 
     def __init__(self, action: Action | None, job: str) -> None:
@@ -21,7 +21,7 @@
 
     @classmethod
     def from_serialised(cls, log_action: str, job: str) -> 'JobLog':
-        """Continue a serialised action; an empty one logs no tree."""
+        """Continue a serialised action; without one, log no tree."""
         if not log_action:
             return cls(None, job)
         action = Action.continue_task(
@@ -37,13 +37,13 @@
             self._action.log(message_type=event, job=self._job, **fields)
 
     def new_branch(self) -> str:
-        """Return the serialised identifier of a new branch."""
+        """Return the serialised task identifier of a new branch."""
         if self._action is None:
             return ''
         return str(self._action.serialize_task_id().decode('ascii'))
 
     def finish(self, end: str) -> None:
-        """End the branch; `end` is `whole` or a failure code."""
+        """Finish the branch; `end` is `whole` or a failure code."""
         self.event('ended', end=end)
         if self._action is not None:
             self._action.finish()
--- a/baobabgap/entry/_joins.py
+++ b/baobabgap/entry/_joins.py
@@ -1,4 +1,4 @@
-"""Waiting for the answer of a job that another entry owns."""
+"""Fetches the answers of jobs that other entries own."""
 
 from concurrent.futures import Future
 from dataclasses import dataclass
@@ -17,105 +17,107 @@
 
 @dataclass(slots=True)
 class _Join:
-    """One answer that is waited for."""
+    """One pending request for the answer of a job."""
 
-    # Where the answer goes.
+    # Completes with the answer.
     future: Future[JobAnswer]
-    # Who owns the job.
-    owner: ClaimOutcome
-    # Monotonic seconds after which a missing link means failure.
-    link_limit_at: float
-    # The link on which the owner was asked, or None.
+    # The outcome of the claim, which names the owner.
+    outcome: ClaimOutcome
+    # Monotonic seconds at which the join fails if there is no link.
+    reconnect_deadline_at: float
+    # The link on which the request was sent, or None.
     link: Connection | None = None
 
 
 class Joins:
-    """The jobs of other entries whose answers are waited for here.
+    """The pending requests for answers of jobs that other entries own.
 
-    The owner is asked over the peer link; if the link is lost, it is asked
-    again over the next one. An owner that stays out of reach, or that has
-    restarted, has taken the job's end with it: the answer is then that
-    the outcome is unknown, and nothing is started again.
+    A request is sent to the owner over the peer link, and again over the
+    next link if that one is lost. If the owner stays unreachable or has
+    restarted, the answer is lost: the join fails with an unknown outcome,
+    and the job is not run again.
     """
 
     def __init__(self, owner_return_s: float) -> None:
         self._owner_return_s = owner_return_s
         self._lock = threading.Lock()
-        self._request = count(1)
+        self._request_numbers = count(1)
         self._join_by_request: dict[int, _Join] = {}
 
     def join(
-        self, owner: ClaimOutcome, link: Connection | None, now: float
+        self, outcome: ClaimOutcome, link: Connection | None, now: float
     ) -> Future[JobAnswer]:
-        """Ask the owner for the job's answer."""
+        """Request the job's answer from its owner."""
         future: Future[JobAnswer] = Future()
-        join = _Join(future, owner, now + self._owner_return_s)
+        join = _Join(future, outcome, now + self._owner_return_s)
         with self._lock:
-            request = next(self._request)
+            request = next(self._request_numbers)
             self._join_by_request[request] = join
             if link is not None:
                 self._ask(request, join, link)
         return future
 
     def link_up(self, link: Connection) -> None:
-        """Ask again over a new link to an owner."""
+        """Repeat the requests to an owner over its new link."""
         with self._lock:
             for request, join in list(self._join_by_request.items()):
-                if join.owner.owner == link.peer.name:
+                if join.outcome.owner == link.peer.name:
                     self._ask(request, join, link)
 
     def link_down(self, link: Connection, now: float) -> None:
-        """Wait a while for the owner's next link."""
+        """Start the time limit for the owner to reconnect."""
         with self._lock:
             for join in self._join_by_request.values():
                 if join.link is link:
                     join.link = None
-                    join.link_limit_at = now + self._owner_return_s
+                    join.reconnect_deadline_at = now + self._owner_return_s
 
     def answer(self, message: JoinedAnswer) -> None:
-        """Hand on what the owner said."""
+        """Complete a join with the owner's answer."""
         with self._lock:
             join = self._join_by_request.pop(message.request, None)
         if join is None:
             return
         if message.answer is None:
             join.future.set_result(
-                _unknown(join.owner, 'the owner no longer knows this job')
+                _owner_lost(join.outcome, 'the owner no longer knows this job')
             )
         else:
             join.future.set_result(message.answer)
 
     def give_up(self, now: float) -> None:
-        """Fail the joins whose owner has been out of reach for too long."""
+        """Fail the joins whose owner has not reconnected in time."""
         with self._lock:
-            late = [
+            expired = [
                 request
                 for request, join in self._join_by_request.items()
-                if join.link is None and now >= join.link_limit_at
+                if join.link is None and now >= join.reconnect_deadline_at
             ]
-            joins = [self._join_by_request.pop(request) for request in late]
+            joins = [self._join_by_request.pop(request) for request in expired]
         for join in joins:
             join.future.set_result(
-                _unknown(join.owner, 'the owner of this job is out of reach')
+                _owner_lost(
+                    join.outcome, 'the owner of this job is out of reach'
+                )
             )
 
     def _ask(self, request: int, join: _Join, link: Connection) -> None:
-        if link.peer.incarnation != join.owner.owner_incarnation:
+        if link.peer.incarnation != join.outcome.owner_incarnation:
             join.link = None
-            join.link_limit_at = 0.0
+            join.reconnect_deadline_at = 0.0
             return
         join.link = link
-        link.send(JoinJob(request, join.owner.job))
+        link.send(JoinJob(request, join.outcome.job))
 
 
-def _unknown(owner: ClaimOutcome, message: str) -> JobAnswer:
+def _owner_lost(outcome: ClaimOutcome, message: str) -> JobAnswer:
     return JobAnswer.from_failure(
-        owner.job,
+        outcome.job,
         JobFailure(
             code=FailureCode.OWNER_LOST,
             message=message,
             step='join',
-            peer=owner.owner,
+            peer=outcome.owner,
             ran=Ran.UNKNOWN,
         ),
     )
--- a/baobabgap/entry/_kept_answers.py
+++ b/baobabgap/entry/_kept_answers.py
@@ -1,4 +1,4 @@
-"""Answers of ended jobs, kept for clients that ask again."""
+"""Retains the answers of ended jobs for repeated requests."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -8,41 +8,41 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """The end of one job."""
+    """The answer of one ended job."""
 
-    # Tells the job's content from any other under its identifier.
+    # Digest of the job's content, to detect reuse of its identifier.
     digest: bytes
-    # How it ended.
+    # The answer that the job ended with.
     answer: JobAnswer
 
 
 class KeptAnswers:
-    """The answers of the last jobs that ended here; the oldest go first.
+    """A bounded store of answers that evicts the oldest first.
 
     Both the number of answers and the number of task values in them are
-    bounded, since one answer may hold a thousand values.
+    limited, since one answer may hold a thousand values.
     """
 
-    def __init__(self, most_answers: int, most_values: int) -> None:
-        self._most_answers = most_answers
-        self._most_values = most_values
+    def __init__(self, max_answers: int, max_values: int) -> None:
+        self._max_answers = max_answers
+        self._max_values = max_values
         self._values = 0
         self._kept_by_job: OrderedDict[str, KeptAnswer] = OrderedDict()
 
     def keep(self, digest: bytes, answer: JobAnswer) -> None:
-        """Keep one answer, and drop the oldest beyond the bounds."""
+        """Store one answer, and evict the oldest beyond the limits."""
         self._kept_by_job[answer.identifier] = KeptAnswer(digest, answer)
         self._values += len(answer.results)
-        while self._is_over():
+        while self._exceeds_limits():
             _, dropped = self._kept_by_job.popitem(last=False)
             self._values -= len(dropped.answer.results)
 
     def get(self, job: str) -> KeptAnswer | None:
-        """Return the end of a job if it is still kept."""
+        """Return the answer of a job, or None if it isn't kept."""
         return self._kept_by_job.get(job)
 
-    def _is_over(self) -> bool:
+    def _exceeds_limits(self) -> bool:
         return (
-            len(self._kept_by_job) > self._most_answers
-            or self._values > self._most_values
+            len(self._kept_by_job) > self._max_answers
+            or self._values > self._max_values
         )
--- a/baobabgap/entry/_outstanding.py
+++ b/baobabgap/entry/_outstanding.py
@@ -1,4 +1,4 @@
-"""Tasks that are with agents: what to ask for when a link returns."""
+"""Tracks the placed tasks, to query them after an agent reconnects."""
 
 from collections.abc import Iterator
 
@@ -10,24 +10,24 @@
 
 
 class OutstandingTasks:
-    """All placed tasks of this entry that have not ended, by agent."""
+    """The placed tasks of this entry that have not ended, by agent."""
 
     def __init__(self) -> None:
         self._tasks_by_agent: dict[
             str, dict[_TaskKey, tuple[ActiveJob, PendingTask]]
         ] = {}
         self._lost_at_by_agent: dict[str, float] = {}
-        # Expected run time of all of them, in milliseconds.
+        # Total expected run time in milliseconds.
         self.work_ms = 0.0
 
     def add(self, agent: str, job: ActiveJob, task: PendingTask) -> None:
-        """Note a task that is being handed to an agent."""
+        """Add a task that is placed on an agent."""
         tasks = self._tasks_by_agent.setdefault(agent, {})
         tasks[job.identifier, task.submission.identifier] = (job, task)
         self.work_ms += task.expected_ms
 
     def remove(self, agent: str, job: str, task: str) -> PendingTask | None:
-        """Drop a task that has ended; None if it isn't outstanding."""
+        """Remove an ended task; None if it isn't outstanding."""
         tasks = self._tasks_by_agent.get(agent, {})
         found = tasks.pop((job, task), None)
         if found is None:
@@ -36,14 +36,14 @@
         return found[1]
 
     def link_lost(self, agent: str, now: float) -> None:
-        """Note that the agent can't be heard since `now`."""
+        """Record that the link to an agent was lost at `now`."""
         if self._tasks_by_agent.get(agent):
             self._lost_at_by_agent[agent] = now
 
     def link_returned(self, agent: str) -> dict[str, list[_TaskKey]]:
-        """Return the agent's outstanding tasks, to ask it about them.
+        """Return the outstanding tasks of a reconnected agent.
 
-        They are listed by the incarnation that they were placed with.
+        They are grouped by the agent incarnation that they were placed on.
         """
         self._lost_at_by_agent.pop(agent, None)
         keys_by_incarnation: dict[str, list[_TaskKey]] = {}
@@ -55,7 +55,7 @@
     def take_lost(
         self, lost_before: float
     ) -> Iterator[tuple[str, ActiveJob, PendingTask]]:
-        """Take out the tasks of agents that were lost before a time."""
+        """Remove and yield the tasks of agents lost before a time."""
         for agent, lost_at in list(self._lost_at_by_agent.items()):
             if lost_at > lost_before:
                 continue
@@ -71,7 +71,9 @@
         tasks = self._tasks_by_agent.get(agent, {})
         overdue = 0
         for job, task in tasks.values():
-            limit_ms = run_times.overdue_ms(job.client, task.submission)
+            limit_ms = run_times.overdue_threshold_ms(
+                job.client, task.submission
+            )
             elapsed_ms = (now - task.placed_at) * 1000
             if limit_ms is not None and elapsed_ms > limit_ms:
                 overdue += 1
--- a/baobabgap/entry/_peer_dialers.py
+++ b/baobabgap/entry/_peer_dialers.py
@@ -1,4 +1,4 @@
-"""Keeps links to the entries that this one has to dial."""
+"""Maintains the links that this entry dials to other entries."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -13,33 +13,33 @@
 
 
 class PeerDialers:
-    """One dialer for each living entry with a greater name.
+    """Runs one dialer for each live entry with a greater name.
 
-    Of two entries the one with the smaller name dials, so that there is
-    one link for each pair.
+    Of two entries the one with the smaller name dials, so that each pair
+    has one link.
     """
 
     def __init__(
         self,
-        own: Hello,
+        hello: Hello,
         timing: LinkTiming,
-        pool: Executor,
+        executor: Executor,
         session: Callable[[Connection], None],
         on_error: Callable[[BaobabgapError], None],
     ) -> None:
-        self._own = own
+        self._hello = hello
         self._timing = timing
-        self._pool = pool
+        self._executor = executor
         self._session = session
         self._on_error = on_error
         self._dialer_by_address: dict[str, Dialer] = {}
 
-    def take_members(self, changes: Changes) -> None:
-        """Follow the membership of the entries."""
+    def update_members(self, changes: Changes) -> None:
+        """Start and stop dialers after a membership change."""
         if changes.from_version == 0:
             self._drop_missing(changes.members)
         for member in changes.members:
-            if member.role != 'entry' or member.name <= self._own.name:
+            if member.role != 'entry' or member.name <= self._hello.name:
                 continue
             if member.alive:
                 self._dial(member.address)
@@ -47,7 +47,7 @@
                 self._drop(member.address)
 
     def stop(self) -> None:
-        """Close all links and dial no more."""
+        """Stop all dialers and close their links."""
         for address in list(self._dialer_by_address):
             self._drop(address)
 
@@ -56,9 +56,9 @@
             return
         dialer = Dialer(
             address,
-            self._own,
+            self._hello,
             self._timing,
-            self._pool,
+            self._executor,
             self._session,
             self._on_error,
         )
@@ -71,6 +71,6 @@
             dialer.stop()
 
     def _drop_missing(self, members: tuple[MemberRecord, ...]) -> None:
-        living = {member.address for member in members if member.alive}
-        for address in set(self._dialer_by_address) - living:
+        live_addresses = {member.address for member in members if member.alive}
+        for address in set(self._dialer_by_address) - live_addresses:
             self._drop(address)
--- a/baobabgap/entry/_placer.py
+++ b/baobabgap/entry/_placer.py
@@ -1,4 +1,4 @@
-"""Hands waiting tasks to agents, as many of a job at once as it can."""
+"""Places waiting tasks on agents, with one message per job and agent."""
 
 from typing import Final
 
@@ -16,14 +16,14 @@
 from baobabgap.messages import UpstreamLoad
 from baobabgap.telemetry import Metrics
 
-# Agents count grant epochs from 1 on, so no token belongs to this one.
+# Agents number grant epochs from 1, so no token belongs to this one.
 _VOID_EPOCH: Final = 0
 
 
 class Placer:
-    """Chooses upstreams for tasks and sends the tasks there.
+    """Selects upstreams for tasks and sends the tasks to their agents.
 
-    `place` only notes what goes where; `flush` sends one message for
+    `place` only assigns tasks to agents; `flush` sends one message for
     each pair of job and agent. The caller holds the dispatcher's lock.
     """
 
@@ -41,7 +41,7 @@
         self._incarnation = incarnation
         self._metrics = metrics
         self._queueing = QueueingPlacement()
-        self._noted_by_job: dict[
+        self._assigned_by_job: dict[
             str, tuple[ActiveJob, dict[str, list[PendingTask]]]
         ] = {}
 
@@ -52,32 +52,32 @@
         return len(self._pool) > 0
 
     def place(self, job: ActiveJob, policy: Policy, now: float) -> float:
-        """Place what a job has waiting, as far as there is room.
+        """Assign the waiting tasks of a job, as far as there is room.
 
-        Returns the expected run time of the placed tasks in milliseconds.
+        Returns the expected run time of the assigned tasks in milliseconds.
         """
         placed_ms = 0.0
         while job.waiting:
             tokens = self._choose(job.waiting[-1], policy)
             if tokens is None:
                 break
-            placed_ms += self._note(job, tokens, now)
+            placed_ms += self._assign(job, tokens, now)
         return placed_ms
 
     def place_one_at(
         self, agent: str, job: ActiveJob, now: float
     ) -> float | None:
-        """Place a job's next task at a given agent, even a suspended one.
+        """Assign a job's next task to one agent, even if it is suspended.
 
-        None if the agent has no room; else as for `place`.
+        Returns None if the agent has no room, else the same as `place`.
         """
         size = job.waiting[-1].submission.size
         tokens = self._pool.spend_at(agent, size)
-        return None if tokens is None else self._note(job, tokens, now)
+        return None if tokens is None else self._assign(job, tokens, now)
 
     def flush(self, policy: Policy, now: float) -> None:
-        """Send what has been noted."""
-        for job, tasks_by_agent in self._noted_by_job.values():
+        """Send the assigned tasks to their agents."""
+        for job, tasks_by_agent in self._assigned_by_job.values():
             for agent, tasks in tasks_by_agent.items():
                 epoch = self._epoch_for(agent, policy)
                 message = self._message(job, tasks, epoch, now)
@@ -89,14 +89,14 @@
                 'baobabgap_tasks_placed_total', sum(count_by_agent.values())
             )
             job.log.event('placed', tasks_by_agent=count_by_agent)
-        self._noted_by_job.clear()
+        self._assigned_by_job.clear()
 
-    def hear_load(self, agent: str, load: UpstreamLoad) -> None:
-        """Keep a load report, for the baseline policies."""
-        self._queueing.hear(agent, load)
+    def record_load(self, agent: str, load: UpstreamLoad) -> None:
+        """Record a load report, for the baseline policies."""
+        self._queueing.set_load(agent, load)
 
     def forget(self, agent: str) -> None:
-        """Drop what is known of an agent whose link was lost."""
+        """Discard the load report of an agent whose link was lost."""
         self._queueing.forget(agent)
 
     def _choose(self, task: PendingTask, policy: Policy) -> AgentTokens | None:
@@ -105,17 +105,19 @@
             return self._pool.spend(size)
         return self._queueing.choose(policy.placement, self._pool, size)
 
-    def _note(self, job: ActiveJob, tokens: AgentTokens, now: float) -> float:
+    def _assign(
+        self, job: ActiveJob, tokens: AgentTokens, now: float
+    ) -> float:
         task = job.place_next(tokens.agent, tokens.incarnation, now)
         self._outstanding.add(tokens.agent, job, task)
-        _, tasks_by_agent = self._noted_by_job.setdefault(
+        _, tasks_by_agent = self._assigned_by_job.setdefault(
             job.identifier, (job, {})
         )
         tasks_by_agent.setdefault(tokens.agent, []).append(task)
         return task.expected_ms
 
     def _epoch_for(self, agent: str, policy: Policy) -> int:
-        """Return the epoch of the token that was spent, or a void one."""
+        """Return the epoch of the tokens spent, or the void epoch."""
         tokens = self._pool.get(agent)
         if tokens is None or not uses_tokens(policy):
             return _VOID_EPOCH
--- a/baobabgap/entry/_queueing_placement.py
+++ b/baobabgap/entry/_queueing_placement.py
@@ -1,6 +1,6 @@
-"""The baseline policies, which let tasks queue at the agents.
+"""Baseline placement policies, under which tasks queue at the agents.
 
-They exist to be measured against; see docs/DESIGN.md.
+They serve as a reference in benchmarks; see docs/DESIGN.md.
 """
 
 import random
@@ -16,24 +16,24 @@
 
 
 class QueueingPlacement:
-    """Chooses an upstream at random, or by the last load reports."""
+    """Selects an upstream at random, or by the latest load reports."""
 
     def __init__(self) -> None:
         self._random = random.Random(_SEED)
         self._load_by_agent: dict[str, UpstreamLoad] = {}
 
-    def hear(self, agent: str, load: UpstreamLoad) -> None:
-        """Keep an agent's last report."""
+    def set_load(self, agent: str, load: UpstreamLoad) -> None:
+        """Record an agent's latest load report."""
         self._load_by_agent[agent] = load
 
     def forget(self, agent: str) -> None:
-        """Drop the report of an agent whose link was lost."""
+        """Discard the report of an agent whose link was lost."""
         self._load_by_agent.pop(agent, None)
 
     def choose(
         self, policy: PlacementPolicy, pool: TokenPool, size: TaskSize
     ) -> AgentTokens | None:
-        """Return an agent that takes tasks of this size, or None."""
+        """Return an agent that accepts tasks of this size, or None."""
         fitting = pool.agents_where(
             lambda tokens: (
                 tokens.offer.accepting and size.fits_in(tokens.offer.capacity)
--- a/baobabgap/entry/_quota_ledger.py
+++ b/baobabgap/entry/_quota_ledger.py
@@ -1,8 +1,9 @@
 """Team quotas, shared between the entries without a message per job.
 
-Each entry meters its own starts against its share of a team's quota. The
-share follows the demand that each entry reported last: an entry that sees
-three quarters of a team's demand may spend three quarters of its quota.
+Each entry enforces its share of a team's quota with a token bucket. The
+share is proportional to the demand that each entry last reported: an entry
+that receives three quarters of a team's demand may spend three quarters of
+its quota.
 """
 
 from dataclasses import dataclass
@@ -13,26 +14,29 @@
 from baobabgap.messages import TeamDemand
 
 _DEMAND_HALF_LIFE_S: Final = 2.0
-_SMALLEST_SHARE: Final = 0.05
-_REPORTED_CHANGE: Final = 0.2
+_MIN_SHARE: Final = 0.05
+# Smallest relative change of a team's demand that is reported.
+_MIN_REPORTED_CHANGE: Final = 0.2
+# Demand below this counts as none.
+_IDLE_TASKS_PER_SECOND: Final = 1e-3
 
 
 @dataclass(slots=True)
 class _TeamMeter:
-    """What one team has asked for and may still spend here."""
+    """The demand of one team at this entry, and its remaining allowance."""
 
-    # Tasks that may start now.
+    # Tasks that may start now; negative after a job larger than the burst.
     allowance: float
     # Monotonic seconds of the last refill.
     refilled_at: float
-    # Decaying demand in tasks a second.
+    # Exponentially decaying demand in tasks per second.
     demand: float = 0.0
-    # The demand that the peers were told last.
+    # The demand last reported to the peers.
     reported_demand: float = 0.0
 
 
 class QuotaLedger:
-    """This entry's share of every team's quota."""
+    """Enforces this entry's share of every team's quota."""
 
     def __init__(self) -> None:
         self._meter_by_team: dict[str, _TeamMeter] = {}
@@ -41,10 +45,10 @@
     def spend(
         self, team: str, tasks: int, quota: TeamQuota, now: float
     ) -> float:
-        """Spend quota for a job; return 0, or the seconds to wait for it.
+        """Spend quota for a job; return 0, or the seconds to wait.
 
-        A job larger than the burst may start whenever the allowance is
-        full, and leaves a debt.
+        A job larger than the burst may start when the allowance is full,
+        and makes it negative.
         """
         share = self._share(team)
         burst = max(quota.burst_tasks * share, 1.0)
@@ -77,18 +81,18 @@
                 changed.append(TeamDemand(team, demand))
         return QuotaDemand(tuple(changed)) if changed else None
 
-    def hear(self, peer: str, demand: QuotaDemand) -> None:
-        """Take in a peer's report."""
+    def set_peer_demand(self, peer: str, demand: QuotaDemand) -> None:
+        """Record the demand that a peer reported."""
         demand_by_team = self._demand_by_peer.setdefault(peer, {})
         for item in demand.teams:
             demand_by_team[item.team] = item.tasks_per_second
 
     def forget(self, peer: str) -> None:
-        """Take over the share of a peer that is gone."""
+        """Remove a disconnected peer; its share is redistributed."""
         self._demand_by_peer.pop(peer, None)
 
-    def forget_reports(self) -> None:
-        """Report everything anew, because there is a new peer."""
+    def reset_reports(self) -> None:
+        """Let the next report list all active teams, for a new peer."""
         for meter in self._meter_by_team.values():
             meter.reported_demand = 0.0
 
@@ -103,7 +107,7 @@
         )
         if own + others <= 0:
             return 1.0 / (1 + len(self._demand_by_peer))
-        return max(own / (own + others), _SMALLEST_SHARE)
+        return max(own / (own + others), _MIN_SHARE)
 
 
 def _decay(meter: _TeamMeter, elapsed_s: float) -> None:
@@ -111,8 +115,10 @@
 
 
 def _is_idle(demand: float) -> bool:
-    return demand < 1e-3
+    return demand < _IDLE_TASKS_PER_SECOND
 
 
 def _differs(demand: float, reported: float) -> bool:
-    return abs(demand - reported) > _REPORTED_CHANGE * max(demand, reported)
+    return abs(demand - reported) > _MIN_REPORTED_CHANGE * max(
+        demand, reported
+    )
--- a/baobabgap/entry/_run_times.py
+++ b/baobabgap/entry/_run_times.py
@@ -1,4 +1,4 @@
-"""Learned run times: what clients declare is often far from the truth."""
+"""Learns run times, since those that clients declare are often wrong."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,37 +6,39 @@
 
 from baobabgap.jobs import TaskSubmission
 
-_NEW_WEIGHT: Final = 0.1
-_FEW_SAMPLES: Final = 10
+# Weight of a new sample in the moving averages, once there are many.
+_MIN_SAMPLE_WEIGHT: Final = 0.1
+# Samples from which on the learned run time is used alone.
+_RELIABLE_SAMPLES: Final = 10
 _MAXIMUM_KINDS: Final = 10_000
-# Below this a late task says more about the hosts than its upstream.
-_LEAST_OVERDUE_MS: Final = 500.0
+# A shorter delay is more likely caused by the hosts than by the upstream.
+_MIN_OVERDUE_THRESHOLD_MS: Final = 500.0
 
 
 @dataclass(slots=True)
 class _LearnedRunTime:
-    """Moving figures of one client's tasks of one kind."""
+    """Moving averages over one client's tasks of one kind."""
 
-    # Run time in milliseconds.
+    # Mean run time in milliseconds.
     mean_ms: float
-    # Mean distance from the mean, in milliseconds.
+    # Mean absolute deviation in milliseconds.
     deviation_ms: float
-    # How many tasks have been seen.
+    # Number of samples.
     samples: int = 1
 
     def add(self, run_time_ms: float) -> None:
-        """Move the figures towards one more run time."""
+        """Update the averages with one more run time."""
         self.samples += 1
-        weight = max(_NEW_WEIGHT, 1 / self.samples)
+        weight = max(_MIN_SAMPLE_WEIGHT, 1 / self.samples)
         distance = abs(run_time_ms - self.mean_ms)
         self.mean_ms += weight * (run_time_ms - self.mean_ms)
         self.deviation_ms += weight * (distance - self.deviation_ms)
 
 
 class RunTimes:
-    """Expected run times for each client and kind of task.
+    """Estimates run times for each client and kind of task.
 
-    The declared time counts fully at first and less with each task seen::
+    The declared time has full weight at first, and less with each sample::
 
         run_times = RunTimes()
         run_times.learn('kurek', 'seat', 80.0)
@@ -47,7 +49,7 @@
         self._learned_by_kind: dict[tuple[str, str], _LearnedRunTime] = {}
 
     def learn(self, client: str, kind: str, run_time_ms: float) -> None:
-        """Take in the true run time of one task, in milliseconds."""
+        """Add the measured run time of one task, in milliseconds."""
         key = (client, kind)
         learned = self._learned_by_kind.get(key)
         if learned is not None:
@@ -65,8 +67,11 @@
         learned = self._learned_by_kind.get((client, task.kind))
         if learned is None:
             return float(task.run_time_ms)
-        trust = min(learned.samples / _FEW_SAMPLES, 1.0)
-        return trust * learned.mean_ms + (1 - trust) * task.run_time_ms
+        learned_weight = min(learned.samples / _RELIABLE_SAMPLES, 1.0)
+        return (
+            learned_weight * learned.mean_ms
+            + (1 - learned_weight) * task.run_time_ms
+        )
 
     def expected_all_ms(
         self, client: str, tasks: Sequence[TaskSubmission]
@@ -74,13 +79,15 @@
         """Return the expected run time of each task in milliseconds."""
         return [self.expected_ms(client, task) for task in tasks]
 
-    def overdue_ms(self, client: str, task: TaskSubmission) -> float | None:
-        """Return the run time beyond which a task of this kind is odd.
+    def overdue_threshold_ms(
+        self, client: str, task: TaskSubmission
+    ) -> float | None:
+        """Return the run time in milliseconds beyond which a task is overdue.
 
-        None while too few tasks of the kind have been seen.
+        None while there are too few samples of its kind.
         """
         learned = self._learned_by_kind.get((client, task.kind))
-        if learned is None or learned.samples < _FEW_SAMPLES:
+        if learned is None or learned.samples < _RELIABLE_SAMPLES:
             return None
-        odd_ms = 2 * learned.mean_ms + 4 * learned.deviation_ms
-        return max(odd_ms, _LEAST_OVERDUE_MS)
+        threshold_ms = 2 * learned.mean_ms + 4 * learned.deviation_ms
+        return max(threshold_ms, _MIN_OVERDUE_THRESHOLD_MS)
--- a/baobabgap/entry/_sessions.py
+++ b/baobabgap/entry/_sessions.py
@@ -1,4 +1,4 @@
-"""The tasks that serve one link each: to an agent, and to a peer entry."""
+"""Message loops of the links to agents and to peer entries."""
 
 from concurrent.futures import Future
 import time
@@ -24,30 +24,30 @@
 
 
 def serve_agent(link: Connection, dispatcher: Dispatcher) -> None:
-    """Hear one agent until its link is lost."""
+    """Handle the messages of one agent until its link is lost."""
     agent = link.peer.name
     log_event('agent_up', agent=agent, incarnation=link.peer.incarnation)
     dispatcher.agent_up(link)
     try:
         for message in link.messages():
-            _take_from_agent(link, message, dispatcher)
+            _handle_agent_message(link, message, dispatcher)
     finally:
         dispatcher.agent_down(link)
         log_event('agent_down', agent=agent)
 
 
-def _take_from_agent(
+def _handle_agent_message(
     link: Connection, message: object, dispatcher: Dispatcher
 ) -> None:
     match message:
         case TaskResults():
-            dispatcher.take_results(link, message)
+            dispatcher.handle_results(link, message)
         case UpstreamOffer():
-            dispatcher.take_offer(link, message)
+            dispatcher.handle_offer(link, message)
         case SlotGrant():
-            dispatcher.take_grant(link, message)
+            dispatcher.handle_grant(link, message)
         case UpstreamLoad():
-            dispatcher.take_load(link, message)
+            dispatcher.handle_load(link, message)
         case _:
             raise _unexpected(link, message)
 
@@ -68,36 +68,36 @@
         self._quotas = quotas
 
     def serve(self, link: Connection) -> None:
-        """Hear one peer entry until its link is lost."""
+        """Handle the messages of one peer entry until its link is lost."""
         peer = link.peer.name
         log_event('peer_up', peer=peer, incarnation=link.peer.incarnation)
         with self._dispatcher.lock:
             self._dispatcher.balancer.add_peer(link)
-            self._quotas.forget_reports()
-        self._dispatcher.changed.set()
+            self._quotas.reset_reports()
+        self._dispatcher.state_changed.set()
         self._joins.link_up(link)
         try:
             for message in link.messages():
-                self._take(link, message)
+                self._handle_message(link, message)
         finally:
-            self._lose(link)
+            self._handle_disconnect(link)
 
-    def _lose(self, link: Connection) -> None:
+    def _handle_disconnect(self, link: Connection) -> None:
         with self._dispatcher.lock:
             if self._dispatcher.balancer.remove_peer(link):
                 self._quotas.forget(link.peer.name)
         self._joins.link_down(link, time.monotonic())
         log_event('peer_down', peer=link.peer.name)
 
-    def _take(self, link: Connection, message: object) -> None:
+    def _handle_message(self, link: Connection, message: object) -> None:
         match message:
             case EntryState():
-                self._dispatcher.take_peer_state(link, message)
+                self._dispatcher.handle_peer_state(link, message)
             case TokenTransfer():
-                self._dispatcher.take_transfer(message)
+                self._dispatcher.handle_transfer(message)
             case QuotaDemand():
                 with self._dispatcher.lock:
-                    self._quotas.hear(link.peer.name, message)
+                    self._quotas.set_peer_demand(link.peer.name, message)
             case JoinJob():
                 self._answer_join(link, message)
             case JoinedAnswer():
--- a/baobabgap/entry/_submissions.py
+++ b/baobabgap/entry/_submissions.py
@@ -1,9 +1,9 @@
-"""The way of a submission: joined, refused, or claimed and released.
+"""Handles submissions: joins, refuses, or claims and enqueues each job.
 
 A job is claimed at the control group before any of its tasks can start.
-A refusal is told only after the control group has confirmed that no other
-entry owns the job, since `not run` must be true of the job and not just
-of this entry.
+A refusal is returned only after the control group has confirmed that no
+other entry owns the job, since `not run` must hold for the job and not
+only for this entry.
 """
 
 from concurrent.futures import FIRST_COMPLETED
@@ -42,7 +42,7 @@
 
 
 class ClaimClient(Protocol):
-    """What this module needs of the control group's client."""
+    """The interface of the control client that this module uses."""
 
     @property
     def is_superseded(self) -> bool:
@@ -52,14 +52,14 @@
         """Claim a job."""
 
     def lookup(self, claim: Claim) -> Future[ClaimOutcome]:
-        """Ask who owns a job."""
+        """Query which entry owns a job."""
 
     def release(self, jobs: list[str]) -> None:
-        """Give up claims of jobs of which nothing was started."""
+        """Release the claims of jobs of which no task has started."""
 
 
 class Submissions:
-    """Takes jobs from callers until each has its one answer."""
+    """Accepts jobs from callers and gives each exactly one answer."""
 
     def __init__(
         self,
@@ -76,13 +76,13 @@
         self._kept = kept
         self._control = control
         self._metrics = metrics
-        self._token = count(time.time_ns())
+        self._fencing_tokens = count(time.time_ns())
         self.is_draining = False
 
     def submit(
         self, submission: JobSubmission, log_action: str
     ) -> Future[JobAnswer]:
-        """Take a job; every refusal and failure comes as its answer."""
+        """Submit a job; refusals and failures are returned as its answer."""
         digest = submission.digest()
         with self._dispatcher.lock:
             known = self._find_known(submission.identifier, digest)
@@ -98,7 +98,7 @@
             job = ActiveJob.from_submission(
                 submission,
                 digest,
-                token=next(self._token),
+                token=next(self._fencing_tokens),
                 now=now,
                 log=JobLog.from_serialised(log_action, submission.identifier),
                 expected_ms=expected_ms,
@@ -109,8 +109,8 @@
     def wait_for_claim(self, identifier: str, timeout_s: float) -> None:
         """Return once a job of this entry is claimed or has ended.
 
-        Until then another entry that is asked would find nothing, and
-        tell that the job has not run.
+        Before that, another entry would find no owner and report that the
+        job has not run.
         """
         with self._dispatcher.lock:
             job = self._dispatcher.find(identifier)
@@ -126,7 +126,7 @@
         return self._look_up(Claim(identifier, b''), unknown_job())
 
     def cancel(self, identifier: str) -> Future[JobAnswer]:
-        """End a job, here or at its owner; tasks that run are stopped."""
+        """Cancel a job, here or at its owner; running tasks are stopped."""
         future = self.cancel_owned(identifier)
         if future is not None:
             return future
@@ -135,7 +135,7 @@
         )
 
     def cancel_owned(self, identifier: str) -> Future[JobAnswer] | None:
-        """End a job of this entry; None if it isn't known here."""
+        """Cancel a job of this entry; None if it isn't known here."""
         with self._dispatcher.lock:
             job = self._dispatcher.find(identifier)
             if job is None:
@@ -143,11 +143,11 @@
             if job.is_claimed:
                 self._dispatcher.fail(job, cancelled(job))
                 return job.future
-            job.is_cancel_wanted = True
+            job.is_cancel_requested = True
         return self._cancel_once_settled(job)
 
     def _cancel_once_settled(self, job: ActiveJob) -> Future[JobAnswer]:
-        """Answer once it is known which entry has the job to cancel."""
+        """Answer a cancellation once the owner of the job is known."""
         future: Future[JobAnswer] = Future()
 
         def settle(done: Future[None]) -> None:
@@ -169,10 +169,10 @@
             return None if job is None else job.future
 
     def end(self, job: ActiveJob, answer: JobAnswer) -> None:
-        """Keep the answer of a job that has ended, unless it may retry.
+        """Keep the answer of an ended job, unless the job may be retried.
 
-        A job of which nothing has started gives its claim up, so that its
-        client may submit it again.
+        If no task of the job has started, its claim is released instead,
+        so that the client can submit the job again.
         """
         failure = answer.failure
         has_run = failure is None or failure.ran is not Ran.NO
@@ -185,7 +185,7 @@
     def _find_known(
         self, identifier: str, digest: bytes
     ) -> Future[JobAnswer] | None:
-        """Return the end of a job that runs or has ended here."""
+        """Return the answer of a job that runs or has ended here."""
         known = self._kept.get(identifier) or self._dispatcher.find(identifier)
         if known is None:
             return None
@@ -199,7 +199,7 @@
     ) -> JobFailure | None:
         if self.is_draining or self._control.is_superseded:
             return draining()
-        if not self._dispatcher.has_heard_configuration:
+        if not self._dispatcher.has_configuration:
             return configuration_unknown()
         decision = self._admission.decide(
             submission,
@@ -221,7 +221,7 @@
             has_agents=len(pool) > 0,
             wait_ms=dispatcher.expected_wait_ms(),
             job_ms=sum(expected_ms),
-            longest_ms=max(expected_ms),
+            longest_task_ms=max(expected_ms),
         )
 
     def _refuse(
@@ -247,28 +247,28 @@
             elif done.result().status is ClaimStatus.GRANTED:
                 self._begin(job)
             elif self._dispatcher.withdraw(job):
-                _forward(self._settle_owned(done.result()), job.future)
+                _forward(self._answer_unowned(done.result()), job.future)
             job.claim_settled.set_result(None)
 
         claimed.add_done_callback(settle)
         return job.future
 
     def _begin(self, job: ActiveJob) -> None:
-        """Let a claimed job run, unless it has ended or was cancelled."""
+        """Enqueue a claimed job, unless it has ended or was cancelled."""
         with self._dispatcher.lock:
             job.is_claimed = True
-            if job.is_cancel_wanted:
-                is_alive = self._dispatcher.fail(job, cancelled(job))
+            if job.is_cancel_requested:
+                is_active = self._dispatcher.fail(job, cancelled(job))
             else:
-                is_alive = self._dispatcher.release(job)
-        if not is_alive:
+                is_active = self._dispatcher.enqueue(job)
+        if not is_active:
             self._control.release([job.identifier])
 
     def _abandon(self, job: ActiveJob, error: BaseException) -> None:
         """Answer a job whose claim may or may not have been committed.
 
-        Nothing was started here, and nothing will be; but whether another
-        entry owns the job can't be told.
+        No task has been or will be started here, but another entry may
+        own the job.
         """
         if self._dispatcher.withdraw(job):
             self._control.release([job.identifier])
@@ -280,7 +280,7 @@
     def _look_up(
         self, claim: Claim, refusal: JobFailure, *, cancel: bool = False
     ) -> Future[JobAnswer]:
-        """Answer with the refusal if nobody owns the job."""
+        """Answer with the refusal if no entry owns the job."""
         future: Future[JobAnswer] = Future()
 
         def settle(done: Future[ClaimOutcome]) -> None:
@@ -293,13 +293,13 @@
             else:
                 if cancel:
                     self._cancel_at_owner(done.result())
-                _forward(self._settle_owned(done.result()), future)
+                _forward(self._answer_unowned(done.result()), future)
 
         self._control.lookup(claim).add_done_callback(settle)
         return future
 
-    def _settle_owned(self, outcome: ClaimOutcome) -> Future[JobAnswer]:
-        """Answer for a job that this submission does not own."""
+    def _answer_unowned(self, outcome: ClaimOutcome) -> Future[JobAnswer]:
+        """Answer a submission whose job it does not own."""
         match outcome.status:
             case ClaimStatus.CONFLICT:
                 return _failed(outcome.job, conflict(outcome.owner))
--- a/baobabgap/entry/_token_pool.py
+++ b/baobabgap/entry/_token_pool.py
@@ -1,8 +1,9 @@
 """The slot tokens that this entry holds, by agent.
 
-See `baobabgap.messages.SlotGrant` for what a token is. The pool answers
-which upstream gets the next task: one in the entry's own availability
-zone before others, and there the one with the most idle slots.
+See `baobabgap.messages.SlotGrant` for the meaning of a token. The pool
+selects the upstream of the next task: upstreams in the entry's own
+availability zone first, and among these the one with the most usable
+tokens.
 """
 
 from collections.abc import Callable
@@ -20,21 +21,21 @@
 
 @dataclass(slots=True)
 class AgentTokens:
-    """What the entry knows of one agent and holds for it."""
+    """One connected agent: its upstream's offer and the tokens held."""
 
     # The agent's name.
     agent: str
-    # The agent's incarnation on its present link.
+    # The agent's incarnation on the current link.
     incarnation: str
-    # Whether it stands in the entry's own availability zone.
-    is_near: bool
-    # The last offer of its upstream.
+    # Whether it is in the entry's own availability zone.
+    is_same_zone: bool
+    # The latest offer of its upstream.
     offer: UpstreamOffer = _CLOSED_OFFER
     # The grant epoch of the idle tokens.
     epoch: int = 0
     # Idle tokens.
     idle: int = 0
-    # Whether the entry avoids the upstream for being slow.
+    # Whether the entry has suspended the upstream for being slow.
     is_suspended: bool = False
 
     @property
@@ -46,12 +47,12 @@
 
 
 class TokenPool:
-    """All agents that have a link to this entry, with their tokens."""
+    """The connected agents and the idle tokens held for each."""
 
     def __init__(self) -> None:
         self._tokens_by_agent: dict[str, AgentTokens] = {}
-        # Agents by (distance, usable tokens); dicts keep the order of
-        # insertion, so that equals take turns.
+        # Agents by (is_same_zone, usable tokens). Dicts keep insertion
+        # order, so that agents of equal rank are used in rotation.
         self._bucket_by_rank: dict[tuple[bool, int], dict[str, None]] = {}
 
     def __iter__(self) -> Iterator[AgentTokens]:
@@ -61,92 +62,92 @@
         return len(self._tokens_by_agent)
 
     def get(self, agent: str) -> AgentTokens | None:
-        """Return what is known of an agent with a link, or None."""
+        """Return the state of a connected agent, or None."""
         return self._tokens_by_agent.get(agent)
 
-    def add(self, agent: str, incarnation: str, is_near: bool) -> None:
-        """Note a new link; it replaces an earlier one of the agent."""
+    def add(self, agent: str, incarnation: str, is_same_zone: bool) -> None:
+        """Add an agent on a new link, replacing its earlier state."""
         self.remove(agent)
-        tokens = AgentTokens(agent, incarnation, is_near)
+        tokens = AgentTokens(agent, incarnation, is_same_zone)
         self._tokens_by_agent[agent] = tokens
-        self._file(tokens)
+        self._add_to_bucket(tokens)
 
     def remove(self, agent: str) -> None:
-        """Forget an agent whose link was lost, and its tokens."""
+        """Remove an agent whose link was lost, with its tokens."""
         tokens = self._tokens_by_agent.pop(agent, None)
         if tokens is not None:
-            self._unfile(tokens)
+            self._remove_from_bucket(tokens)
 
     def set_offer(self, agent: str, offer: UpstreamOffer) -> None:
-        """Note a new offer of the agent's upstream."""
-        with_offer = self._tokens_by_agent[agent]
-        self._unfile(with_offer)
-        with_offer.offer = offer
-        self._file(with_offer)
+        """Replace the offer of the agent's upstream."""
+        agent_tokens = self._tokens_by_agent[agent]
+        self._remove_from_bucket(agent_tokens)
+        agent_tokens.offer = offer
+        self._add_to_bucket(agent_tokens)
 
     def set_grant(self, agent: str, epoch: int, tokens: int) -> bool:
-        """Replace the idle tokens; False for a grant of an old epoch."""
-        granted = self._tokens_by_agent[agent]
-        if epoch < granted.epoch:
+        """Replace the idle tokens; False if the grant's epoch is old."""
+        current = self._tokens_by_agent[agent]
+        if epoch < current.epoch:
             return False
-        self._unfile(granted)
-        granted.epoch = epoch
-        granted.idle = tokens
-        self._file(granted)
+        self._remove_from_bucket(current)
+        current.epoch = epoch
+        current.idle = tokens
+        self._add_to_bucket(current)
         return True
 
     def suspend(self, agent: str, suspended: bool) -> None:
-        """Avoid an upstream that is slow, or use it again."""
+        """Suspend a slow upstream, or resume its use."""
         tokens = self._tokens_by_agent[agent]
-        self._unfile(tokens)
+        self._remove_from_bucket(tokens)
         tokens.is_suspended = suspended
-        self._file(tokens)
+        self._add_to_bucket(tokens)
 
-    def give_back(self, agent: str, epoch: int) -> bool:
-        """Take a returned token; False if it is void."""
+    def return_token(self, agent: str, epoch: int) -> bool:
+        """Add a token that came back with a result; False if it is void."""
         tokens = self._tokens_by_agent.get(agent)
         if tokens is None or tokens.epoch != epoch:
             return False
-        self._add(tokens, 1)
+        self._change_idle(tokens, 1)
         return True
 
     def accept_transfer(self, transfer: TokenTransfer) -> bool:
-        """Take tokens from another entry; False if they are void."""
+        """Add tokens from another entry; False if they are void."""
         tokens = self._tokens_by_agent.get(transfer.agent)
         if tokens is None or tokens.epoch != transfer.epoch:
             return False
         if tokens.incarnation != transfer.agent_incarnation:
             return False
-        self._add(tokens, transfer.tokens)
+        self._change_idle(tokens, transfer.tokens)
         return True
 
     def spend(self, size: TaskSize) -> AgentTokens | None:
         """Spend one token on an upstream that can hold the task."""
         for tokens in self._by_preference():
             if size.fits_in(tokens.offer.capacity):
-                self._add(tokens, -1)
+                self._change_idle(tokens, -1)
                 return tokens
         return None
 
     def spend_at(self, agent: str, size: TaskSize) -> AgentTokens | None:
-        """Spend a token of one agent, also of a suspended one."""
+        """Spend a token of one agent, even if it is suspended."""
         tokens = self._tokens_by_agent.get(agent)
         if tokens is None or tokens.idle < 1 or not tokens.offer.accepting:
             return None
         if not size.fits_in(tokens.offer.capacity):
             return None
-        self._add(tokens, -1)
+        self._change_idle(tokens, -1)
         return tokens
 
-    def give_away(self, wanted: int) -> list[TokenTransfer]:
-        """Take up to `wanted` usable tokens out, to hand them over."""
+    def create_transfers(self, wanted: int) -> list[TokenTransfer]:
+        """Remove up to `wanted` usable tokens, to transfer them."""
         transfers = []
         while wanted > 0:
-            tokens = next(self._by_preference(far_first=True), None)
+            tokens = next(self._by_preference(other_zones_first=True), None)
             if tokens is None:
                 break
             given = min(wanted, tokens.usable)
-            self._add(tokens, -given)
+            self._change_idle(tokens, -given)
             wanted -= given
             transfers.append(
                 TokenTransfer(
@@ -163,7 +164,7 @@
         )
 
     def can_ever_hold(self, size: TaskSize) -> bool:
-        """Tell whether any known upstream is large enough for a task."""
+        """Tell whether any connected upstream is large enough for a task."""
         return any(
             size.fits_in(tokens.offer.capacity)
             for tokens in self._tokens_by_agent.values()
@@ -172,8 +173,9 @@
     def accepting_slots(self) -> int:
         """Count the slots of all upstreams that take new tasks.
 
-        Suspended ones count only when there are no others, so that jobs
-        are still admitted, and one of them can try a suspended upstream.
+        Suspended upstreams count only if there are no others, so that
+        jobs are still admitted and one of them can probe a suspended
+        upstream.
         """
         slots_of_suspended = 0
         slots = 0
@@ -196,29 +198,31 @@
             if predicate(tokens)
         ]
 
-    def _by_preference(self, far_first: bool = False) -> Iterator[AgentTokens]:
+    def _by_preference(
+        self, other_zones_first: bool = False
+    ) -> Iterator[AgentTokens]:
         """Yield agents with usable tokens, the best one first."""
         ranks = sorted(
             self._bucket_by_rank,
-            key=lambda rank: (rank[0] != far_first, rank[1]),
+            key=lambda rank: (rank[0] != other_zones_first, rank[1]),
             reverse=True,
         )
         for rank in ranks:
             for agent in self._bucket_by_rank[rank]:
                 yield self._tokens_by_agent[agent]
 
-    def _add(self, tokens: AgentTokens, change: int) -> None:
-        self._unfile(tokens)
+    def _change_idle(self, tokens: AgentTokens, change: int) -> None:
+        self._remove_from_bucket(tokens)
         tokens.idle += change
-        self._file(tokens)
+        self._add_to_bucket(tokens)
 
-    def _file(self, tokens: AgentTokens) -> None:
+    def _add_to_bucket(self, tokens: AgentTokens) -> None:
         if tokens.usable > 0:
-            rank = (tokens.is_near, tokens.usable)
+            rank = (tokens.is_same_zone, tokens.usable)
             self._bucket_by_rank.setdefault(rank, {})[tokens.agent] = None
 
-    def _unfile(self, tokens: AgentTokens) -> None:
-        rank = (tokens.is_near, tokens.usable)
+    def _remove_from_bucket(self, tokens: AgentTokens) -> None:
+        rank = (tokens.is_same_zone, tokens.usable)
         bucket = self._bucket_by_rank.get(rank)
         if bucket is None:
             return
--- a/baobabgap/entry/_waiting_queue.py
+++ b/baobabgap/entry/_waiting_queue.py
@@ -1,4 +1,4 @@
-"""Jobs with tasks that wait for a slot, the most urgent first."""
+"""The queue of jobs with waiting tasks, the most urgent first."""
 
 from collections.abc import Iterator
 import heapq
@@ -13,9 +13,9 @@
     """A priority queue of jobs, ordered by virtual deadline or arrival.
 
     A job's virtual deadline is its arrival plus a multiple of its longest
-    expected run time, so that waiting stretches short and long jobs
-    alike. Ended jobs are dropped when they come up: ending one costs
-    nothing here, which is what makes waves of cancellations cheap.
+    expected run time, so that waiting delays jobs in proportion to their
+    length. Ended jobs are removed lazily when they reach the head, so that
+    cancelling many jobs at once is cheap.
     """
 
     def __init__(self) -> None:
@@ -24,34 +24,36 @@
 
     def add(self, job: ActiveJob, policy: Policy) -> None:
         """Queue a job that has waiting tasks."""
-        urgency = _virtual_deadline(job, policy)
-        heapq.heappush(self._heap, (urgency, next(self._sequence), job))
+        virtual_deadline = _virtual_deadline(job, policy)
+        heapq.heappush(
+            self._heap, (virtual_deadline, next(self._sequence), job)
+        )
 
     def pop(self) -> ActiveJob | None:
-        """Take the most urgent job with waiting tasks, if there is one."""
+        """Remove and return the most urgent job with waiting tasks, if any."""
         self._drop_ended()
         if not self._heap:
             return None
         return heapq.heappop(self._heap)[2]
 
-    def head_urgency(self) -> float | None:
-        """Return the most urgent virtual deadline, in monotonic seconds."""
+    def head_deadline(self) -> float | None:
+        """Return the earliest virtual deadline in monotonic seconds."""
         self._drop_ended()
         return self._heap[0][0] if self._heap else None
 
-    def waiting_tasks(self) -> int:
-        """Count the tasks that wait."""
+    def waiting_task_count(self) -> int:
+        """Return the number of waiting tasks."""
         return sum(len(job.waiting) for job in self._jobs())
 
     def _jobs(self) -> Iterator[ActiveJob]:
         return (job for _, _, job in self._heap if not job.ended)
 
     def _drop_ended(self) -> None:
-        while self._heap and _is_settled(self._heap[0][2]):
+        while self._heap and _has_nothing_to_place(self._heap[0][2]):
             heapq.heappop(self._heap)
 
 
-def _is_settled(job: ActiveJob) -> bool:
+def _has_nothing_to_place(job: ActiveJob) -> bool:
     return job.ended or not job.waiting
 
 
--- a/baobabgap/entry/tests/fakes.py
+++ b/baobabgap/entry/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the entry's interfaces."""
+"""Fakes for the interfaces of the entry."""
 
 from concurrent.futures import Future
 from typing import Any
@@ -37,7 +37,7 @@
 
 
 class FakeLink:
-    """A link that only notes what is sent."""
+    """A link that records sent messages."""
 
     def __init__(
         self, name: str, role: str, incarnation: str = 'i1', zone: str = 'z'
@@ -46,23 +46,23 @@
         self.sent: list[Any] = []
 
     def send(self, *messages: object) -> None:
-        """Note messages."""
+        """Record messages."""
         self.sent.extend(messages)
 
     def take(self, message_class: type[_Message]) -> list[_Message]:
-        """Return the noted messages of one class, and forget all."""
+        """Return the recorded messages of one class, and clear all."""
         found = [item for item in self.sent if isinstance(item, message_class)]
         self.sent.clear()
         return found
 
     @property
     def connection(self) -> Connection:
-        """This link, as the code under test takes it."""
+        """This link, typed as the code under test expects it."""
         return cast(Connection, self)
 
 
 class FakeControl:
-    """A control group that answers when the test says so."""
+    """A control client whose answers the test triggers."""
 
     def __init__(self) -> None:
         self.claims: list[tuple[Claim, Future[ClaimOutcome]]] = []
@@ -71,19 +71,19 @@
         self.is_superseded = False
 
     def claim(self, claim: Claim) -> Future[ClaimOutcome]:
-        """Note a claim."""
+        """Record a claim."""
         future: Future[ClaimOutcome] = Future()
         self.claims.append((claim, future))
         return future
 
     def lookup(self, claim: Claim) -> Future[ClaimOutcome]:
-        """Note a lookup."""
+        """Record a lookup."""
         future: Future[ClaimOutcome] = Future()
         self.lookups.append((claim, future))
         return future
 
     def release(self, jobs: list[str]) -> None:
-        """Note released jobs."""
+        """Record released jobs."""
         self.released.extend(jobs)
 
     def settle_claim(
@@ -107,13 +107,13 @@
 
 
 class FakeEntry:
-    """The parts of an entry, wired without sockets."""
+    """The components of an entry, connected without sockets."""
 
     def __init__(
         self,
         configuration: Configuration | None = None,
         *,
-        hears_configuration: bool = True,
+        has_configuration: bool = True,
     ) -> None:
         settings = EntrySettings(kept_answers=4)
         self.metrics = Metrics()
@@ -130,7 +130,7 @@
             self.control,
             self.metrics,
         )
-        if hears_configuration:
+        if has_configuration:
             self.dispatcher.set_configuration(
                 configuration or GENEROUS_CONFIGURATION
             )
@@ -147,17 +147,17 @@
         zone: str = 'z',
         incarnation: str = 'i1',
     ) -> FakeLink:
-        """Let an agent connect and grant its tokens."""
+        """Connect an agent and grant its tokens."""
         link = FakeLink(name, 'agent', incarnation, zone)
         self.dispatcher.agent_up(link.connection)
         offer = UpstreamOffer(name, slots, CAPACITY, True)
-        self.dispatcher.take_offer(link.connection, offer)
+        self.dispatcher.handle_offer(link.connection, offer)
         granted = slots if tokens is None else tokens
-        self.dispatcher.take_grant(link.connection, SlotGrant(1, granted))
+        self.dispatcher.handle_grant(link.connection, SlotGrant(1, granted))
         return link
 
     def add_peer(self, name: str) -> FakeLink:
-        """Let a peer entry connect."""
+        """Connect a peer entry."""
         link = FakeLink(name, 'entry')
         self.dispatcher.balancer.add_peer(link.connection)
         return link
@@ -175,14 +175,14 @@
         placed: PlaceTasks,
         outcome: TaskOutcome = TaskOutcome.DONE,
     ) -> None:
-        """Let an agent return results for all placed tasks."""
+        """Return results from an agent for all placed tasks."""
         results = tuple(
             TaskResult(
                 placed.job, task.task, outcome, task.payload, 50.0, True, 1
             )
             for task in placed.tasks
         )
-        self.dispatcher.take_results(link.connection, TaskResults(results))
+        self.dispatcher.handle_results(link.connection, TaskResults(results))
 
 
 def job(
@@ -193,7 +193,7 @@
     run_time_ms: int = 100,
     team: str = 'rowing',
 ) -> JobSubmission:
-    """Build a submission whose tasks echo their numbers."""
+    """Build a submission whose task payloads are their indexes."""
     return JobSubmission.from_document(
         {
             'identifier': f'kurek.{number}.a',
--- a/baobabgap/entry/tests/test_dispatcher.py
+++ b/baobabgap/entry/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of placement, results, moves and lost agents."""
+"""Tests of placement, results, requeued tasks and lost agents."""
 
 import time
 import unittest
@@ -19,7 +19,7 @@
 
 
 class TestPlacement(unittest.TestCase):
-    """Tasks go where tokens are, most urgent first."""
+    """Tasks are placed only on tokens, the most urgent task first."""
 
     def test_whole_answer_in_order(self) -> None:
         entry = FakeEntry()
@@ -35,7 +35,7 @@
             [(item.task, item.value) for item in answer.results],
         )
 
-    def test_tasks_of_a_job_for_one_agent_travel_together(self) -> None:
+    def test_tasks_of_a_job_for_one_agent_share_a_message(self) -> None:
         entry = FakeEntry()
         agent = entry.add_agent('a', 8)
         entry.submit(job(tasks=5))
@@ -63,7 +63,7 @@
         entry.control.settle_claim()
         self.assertEqual(1, len(agent.take(PlaceTasks)))
 
-    def test_near_agents_first(self) -> None:
+    def test_agents_in_the_same_zone_first(self) -> None:
         entry = FakeEntry()
         far = entry.add_agent('far', 8, zone='other')
         near = entry.add_agent('near', 2)
@@ -81,10 +81,14 @@
         self.assertEqual('kurek.3.a', agent.take(PlaceTasks)[0].job)
 
 
-class TestBadOutcomes(unittest.TestCase):
-    """A job with a bad task fails once; unstarted tasks move."""
+class TestTaskFailures(unittest.TestCase):
+    """An unstarted task is requeued; any other failure ends its job.
 
-    def test_unstarted_task_moves(self) -> None:
+    A task that may have started is never placed again, since it could run
+    twice.
+    """
+
+    def test_unstarted_task_is_requeued(self) -> None:
         entry = FakeEntry()
         agent = entry.add_agent('a', 1)
         future = entry.submit(job())
@@ -92,11 +96,11 @@
         entry.finish(agent, placed, TaskOutcome.NOT_STARTED)
         kinds = [type(message) for message in agent.sent]
         self.assertEqual([AcknowledgeResults, PlaceTasks], kinds)
-        again = agent.take(PlaceTasks)[0]
-        entry.finish(agent, again)
+        repeated = agent.take(PlaceTasks)[0]
+        entry.finish(agent, repeated)
         self.assertTrue(future.result(1).is_whole)
 
-    def test_started_tasks_never_move(self) -> None:
+    def test_started_tasks_are_never_requeued(self) -> None:
         cases = {
             'failed': (TaskOutcome.FAILED, FailureCode.TASK_FAILED, Ran.YES),
             'lost': (TaskOutcome.LOST, FailureCode.TASK_LOST, Ran.UNKNOWN),
@@ -135,7 +139,7 @@
         wasted = 'baobabgap_wasted_messages_total{kind="late_result"}'
         self.assertEqual(1, entry.metrics.value(wasted))
 
-    def test_cancelled_result_that_brings_its_token_is_not_wasted(
+    def test_cancelled_result_that_returns_its_token_is_not_wasted(
         self,
     ) -> None:
         entry = FakeEntry()
@@ -149,24 +153,24 @@
         entry.submit(job(2))
         self.assertEqual(1, len(agent.take(PlaceTasks)))
 
-    def test_lost_agent_is_asked_on_its_next_link(self) -> None:
+    def test_reconnected_agent_is_asked_for_its_tasks(self) -> None:
         entry = FakeEntry()
         agent = entry.add_agent('a', 1)
         future = entry.submit(job())
         entry.dispatcher.agent_down(agent.connection)
-        back = entry.add_agent('a', 1, tokens=0, incarnation='i2')
-        asked = back.take(ResumeTasks)
+        reconnected = entry.add_agent('a', 1, tokens=0, incarnation='i2')
+        asked = reconnected.take(ResumeTasks)
         self.assertEqual([(('kurek.1.a', 't0'),)], [m.tasks for m in asked])
         self.assertFalse(future.done())
 
-    def test_lost_agent_that_stays_away_fails_its_jobs(self) -> None:
+    def test_jobs_fail_if_their_agent_does_not_reconnect(self) -> None:
         entry = FakeEntry()
         agent = entry.add_agent('a', 1)
         future = entry.submit(job())
         entry.dispatcher.agent_down(agent.connection)
-        entry.dispatcher.give_up_on_lost_agents(time.monotonic())
+        entry.dispatcher.fail_jobs_of_lost_agents(time.monotonic())
         self.assertFalse(future.done())
-        entry.dispatcher.give_up_on_lost_agents(time.monotonic() + 60)
+        entry.dispatcher.fail_jobs_of_lost_agents(time.monotonic() + 60)
         failure = future.result(1).failure
         assert failure is not None
         self.assertEqual('a', failure.peer)
@@ -193,13 +197,16 @@
 
 
 class TestTokens(unittest.TestCase):
-    """Idle tokens go where work waits."""
+    """Idle tokens are transferred to peers with waiting tasks.
+
+    Otherwise slots would idle while tasks wait at another entry.
+    """
 
-    def test_idle_entry_gives_to_peer_with_backlog(self) -> None:
+    def test_idle_entry_transfers_tokens_to_peer_with_backlog(self) -> None:
         entry = FakeEntry()
         entry.add_agent('a', 4)
         peer = entry.add_peer('entry-2')
-        entry.dispatcher.take_peer_state(
+        entry.dispatcher.handle_peer_state(
             peer.connection, EntryState(3, 10.0, 0, 300.0)
         )
         given = sum(item.tokens for item in peer.take(TokenTransfer))
@@ -212,7 +219,7 @@
         entry.submit(job(1))
         entry.submit(job(2))
         placed = agent.take(PlaceTasks)[0]
-        entry.dispatcher.take_peer_state(
+        entry.dispatcher.handle_peer_state(
             peer.connection, EntryState(1, -5000.0, 0, 300.0)
         )
         entry.finish(agent, placed)
@@ -230,59 +237,62 @@
         entry.submit(job())
         for name, transfer in cases.items():
             with self.subTest(name):
-                entry.dispatcher.take_transfer(transfer)
+                entry.dispatcher.handle_transfer(transfer)
                 self.assertEqual([], agent.take(PlaceTasks))
-        entry.dispatcher.take_transfer(TokenTransfer('a', 'i1', 1, 1))
+        entry.dispatcher.handle_transfer(TokenTransfer('a', 'i1', 1, 1))
         self.assertEqual(1, len(agent.take(PlaceTasks)))
 
 
 class TestSlowUpstream(unittest.TestCase):
-    """An upstream on which most tasks are overdue gets no more of them."""
+    """An upstream on which most tasks are overdue is suspended.
+
+    It looks healthy to its agent, and would otherwise receive more tasks.
+    """
 
-    def test_suspended_and_tried_again(self) -> None:
+    def test_suspended_and_probed(self) -> None:
         entry = FakeEntry()
         for _ in range(12):
             entry.dispatcher.run_times.learn('kurek', 'seat', 50.0)
         slow = entry.add_agent('slow', 2)
         entry.submit(job(1, tasks=2))
         now = time.monotonic()
-        entry.dispatcher.watch_upstreams(now + 1.0)
+        entry.dispatcher.check_upstreams(now + 1.0)
         fresh = entry.add_agent('fresh', 2)
         entry.finish(slow, slow.take(PlaceTasks)[0])
         entry.submit(job(2, tasks=2))
         self.assertEqual([], slow.take(PlaceTasks))
         self.assertEqual(1, len(fresh.take(PlaceTasks)))
         entry.submit(job(3))
-        entry.dispatcher.watch_upstreams(now + 7.0)
-        tried = slow.take(PlaceTasks)
-        self.assertEqual(1, len(tried))
-        entry.finish(slow, tried[0])
+        entry.dispatcher.check_upstreams(now + 7.0)
+        probes = slow.take(PlaceTasks)
+        self.assertEqual(1, len(probes))
+        entry.finish(slow, probes[0])
         entry.submit(job(4))
         self.assertEqual(1, len(slow.take(PlaceTasks)))
 
-    def test_suspending_the_last_one_refuses_nothing(self) -> None:
+    def test_jobs_are_admitted_if_all_upstreams_are_suspended(self) -> None:
         entry = FakeEntry()
         for _ in range(12):
             entry.dispatcher.run_times.learn('kurek', 'seat', 50.0)
         slow = entry.add_agent('slow', 2)
         entry.submit(job(1, tasks=2))
         now = time.monotonic()
-        entry.dispatcher.watch_upstreams(now + 1.0)
+        entry.dispatcher.check_upstreams(now + 1.0)
         entry.finish(slow, slow.take(PlaceTasks)[0])
         future = entry.submit(job(2))
         self.assertFalse(future.done())
-        entry.dispatcher.watch_upstreams(now + 7.0)
+        entry.dispatcher.check_upstreams(now + 7.0)
         entry.finish(slow, slow.take(PlaceTasks)[0])
         self.assertTrue(future.result(1).is_whole)
 
-    def test_most_upstreams_slow_at_once_are_not_avoided(self) -> None:
+    def test_at_most_a_third_of_the_upstreams_is_suspended(self) -> None:
         entry = FakeEntry()
         for _ in range(12):
             entry.dispatcher.run_times.learn('kurek', 'seat', 50.0)
         for number in range(6):
             entry.add_agent(f'a{number}', 2)
         entry.submit(job(1, tasks=12))
-        entry.dispatcher.watch_upstreams(time.monotonic() + 1.0)
+        entry.dispatcher.check_upstreams(time.monotonic() + 1.0)
         suspended = 'baobabgap_upstreams_suspended_total'
         self.assertEqual(2, entry.metrics.value(suspended))
 
@@ -292,7 +302,7 @@
             entry.dispatcher.run_times.learn('kurek', 'seat', 0.1)
         agent = entry.add_agent('a', 4)
         entry.submit(job(1, tasks=2))
-        entry.dispatcher.watch_upstreams(time.monotonic() + 0.3)
+        entry.dispatcher.check_upstreams(time.monotonic() + 0.3)
         entry.submit(job(2))
         self.assertEqual(2, len(agent.take(PlaceTasks)))
 
@@ -306,13 +316,13 @@
             entry.dispatcher.run_times.learn('kurek', 'seat', 50.0)
         entry.add_agent('a', 1)
         entry.submit(job(1, tasks=3))
-        entry.dispatcher.watch_upstreams(time.monotonic() + 1.0)
+        entry.dispatcher.check_upstreams(time.monotonic() + 1.0)
         suspended = 'baobabgap_upstreams_suspended_total'
         self.assertEqual(0, entry.metrics.value(suspended))
 
 
 class TestBaselines(unittest.TestCase):
-    """The baselines place at once, without tokens."""
+    """The baseline policies place tasks without tokens."""
 
     def test_random_places_without_tokens(self) -> None:
         for placement in ('random', 'least_reported'):
--- a/baobabgap/entry/tests/test_shares.py
+++ b/baobabgap/entry/tests/test_shares.py
@@ -4,8 +4,8 @@
 
 from baobabgap.configuration import Policy
 from baobabgap.configuration import TeamQuota
-from baobabgap.entry._balancer import Balancer
 from baobabgap.entry._quota_ledger import QuotaLedger
+from baobabgap.entry._token_balancer import TokenBalancer
 from baobabgap.entry._token_pool import TokenPool
 from baobabgap.entry.tests.fakes import FakeLink
 from baobabgap.messages import EntryState
@@ -16,7 +16,7 @@
 
 
 def _spend_for(ledger: QuotaLedger, seconds: int, per_second: int) -> int:
-    """Ask evenly for single tasks; return how many were let through."""
+    """Request single tasks at a fixed rate; return how many may start."""
     passed = 0
     for step in range(seconds * per_second):
         now = step / per_second
@@ -26,7 +26,7 @@
 
 
 class TestQuotaLedger(unittest.TestCase):
-    """A team gets its quota from all entries together, and no more."""
+    """A team gets its quota over all entries together, and no more."""
 
     def test_alone(self) -> None:
         passed = _spend_for(QuotaLedger(), 10, 300)
@@ -35,7 +35,9 @@
     def test_shared_by_demand(self) -> None:
         ledger = QuotaLedger()
         _spend_for(ledger, 1, 100)
-        ledger.hear('peer', QuotaDemand((TeamDemand('team', 300.0),)))
+        ledger.set_peer_demand(
+            'peer', QuotaDemand((TeamDemand('team', 300.0),))
+        )
         share = _spend_for(ledger, 20, 100)
         self.assertLess(share, 2100 * 0.45)
         self.assertGreater(share, 2100 * 0.15)
@@ -55,7 +57,7 @@
 
 
 class TestBalancerReports(unittest.TestCase):
-    """A report goes out when something has changed, and only then."""
+    """A report is sent only if the state has changed enough."""
 
     def test_reports(self) -> None:
         last = EntryState(10, 100.0, 0, 1000.0)
@@ -70,7 +72,7 @@
         }
         for name, (state, expected) in cases.items():
             with self.subTest(name):
-                balancer = Balancer(TokenPool())
+                balancer = TokenBalancer(TokenPool())
                 balancer.add_peer(FakeLink('p', 'entry').connection)
                 balancer.report(last, 0.0, Policy())
                 sent = balancer.report(state, 0.0, Policy())
--- a/baobabgap/entry/tests/test_submissions.py
+++ b/baobabgap/entry/tests/test_submissions.py
@@ -1,4 +1,4 @@
-"""Tests of the way of a submission: claimed, joined or refused."""
+"""Tests of submissions that are claimed, joined, refused or cancelled."""
 
 from concurrent.futures import ThreadPoolExecutor
 import time
@@ -21,7 +21,11 @@
 
 
 class TestResubmission(unittest.TestCase):
-    """The same identifier never starts a second time."""
+    """A job that is submitted again never runs a second time.
+
+    A client submits a job again when it has received no answer; the job may
+    still run, or have ended, at this entry or another one.
+    """
 
     def test_joins_the_running_job_and_the_kept_answer(self) -> None:
         entry = FakeEntry()
@@ -76,7 +80,7 @@
             assert failure is not None
             self.assertEqual(FailureCode.CONFLICT, failure.code)
 
-    def test_forgotten_answer_is_not_run_again(self) -> None:
+    def test_job_with_evicted_answer_is_not_run_again(self) -> None:
         entry = FakeEntry()
         agent = entry.add_agent('a', 4)
         for number in range(1, 7):
@@ -104,7 +108,7 @@
         entry.joins.answer(JoinedAnswer(request, answer))
         self.assertEqual(answer, future.result(1))
 
-    def test_owner_out_of_reach_has_lost_the_job(self) -> None:
+    def test_job_of_an_unreachable_owner_is_lost(self) -> None:
         entry = FakeEntry()
         entry.add_agent('a', 4)
         future = entry.submissions.submit(job(), '')
@@ -132,7 +136,10 @@
 
 
 class TestRefusals(unittest.TestCase):
-    """A refusal says `not run` only after control has confirmed it."""
+    """A refusal states `not run` only after control has confirmed it.
+
+    An entry that refuses a job can't know whether another one runs it.
+    """
 
     def test_refusals(self) -> None:
         strict = Configuration.from_state(
@@ -168,7 +175,7 @@
                 self.assertEqual([], entry.control.claims)
 
     def test_without_a_configuration_no_team_is_unknown(self) -> None:
-        entry = FakeEntry(hears_configuration=False)
+        entry = FakeEntry(has_configuration=False)
         entry.add_agent('a', 1)
         early = entry.submissions.submit(job(), '')
         entry.control.settle_lookup()
@@ -183,7 +190,7 @@
         entry.submissions.submit(job(), '')
         self.assertEqual(1, len(entry.control.claims))
 
-    def test_overloaded_has_a_time_to_come_back(self) -> None:
+    def test_overloaded_has_a_retry_time(self) -> None:
         entry = FakeEntry()
         entry.add_agent('a', 1)
         entry.submit(job(1, tasks=50))
@@ -196,20 +203,20 @@
         )
         self.assertGreater(failure.retry_after_s, 1.0)
 
-    def test_patient_jobs_do_not_crowd_out_the_others(self) -> None:
+    def test_patient_jobs_do_not_starve_the_others(self) -> None:
         entry = FakeEntry()
         entry.add_agent('a', 1)
         entry.submit(job(1000))
         for number in range(1, 100):
             deadline_ms = 60_000 if number % 2 else 500
             entry.submissions.submit(job(number, deadline_ms=deadline_ms), '')
-        codes = [claim.job for claim, _ in entry.control.lookups]
+        refused_jobs = [claim.job for claim, _ in entry.control.lookups]
         refused_patient = [
-            name for name in codes if int(name.split('.')[1]) % 2
+            name for name in refused_jobs if int(name.split('.')[1]) % 2
         ]
-        self.assertGreater(len(refused_patient), len(codes) / 3)
+        self.assertGreater(len(refused_patient), len(refused_jobs) / 3)
 
-    def test_over_quota_has_a_time_to_come_back(self) -> None:
+    def test_over_quota_has_a_retry_time(self) -> None:
         quota = {'tasks_per_second': 1, 'burst_tasks': 1}
         entry = FakeEntry(Configuration.from_state(1, {'quota/rowing': quota}))
         entry.add_agent('a', 4)
@@ -273,14 +280,14 @@
 
 
 class TestCancel(unittest.TestCase):
-    """A cancelled job is answered at once and starts nothing more."""
+    """A cancelled job is answered at once and starts no more tasks."""
 
     def test_cancel_before_the_claim_is_granted(self) -> None:
         entry = FakeEntry()
         agent = entry.add_agent('a', 4)
         future = entry.submissions.submit(job(), '')
         cancel = entry.submissions.cancel('kurek.1.a')
-        # Until then another entry may own the job and run it.
+        # Before the claim is granted, another entry may own and run the job.
         self.assertFalse(future.done() or cancel.done())
         entry.control.settle_claim()
         self.assertEqual(future.result(1), cancel.result(1))
@@ -306,7 +313,7 @@
             entry.joins.answer(JoinedAnswer(join.request, answer))
         self.assertEqual([answer] * 2, [future.result(1), cancel.result(1)])
 
-    def test_wave_of_cancels_sends_nothing_for_queued_work(self) -> None:
+    def test_cancelling_queued_jobs_sends_nothing(self) -> None:
         entry = FakeEntry()
         agent = entry.add_agent('a', 1)
         entry.submit(job(1))
