--- a/baobabgap/upstreams/__init__.py
+++ b/baobabgap/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Looking after one upstream: runs, leases and their ends."""
+"""Runs tasks on one upstream: start and stop calls, leases and results."""
 
 from baobabgap.upstreams._client import HeldRun
 from baobabgap.upstreams._client import Holding
--- a/baobabgap/upstreams/_client.py
+++ b/baobabgap/upstreams/_client.py
@@ -1,4 +1,4 @@
-"""What the run agent needs of a client of its upstream."""
+"""The interface between the run agent and a client of its upstream."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,30 +10,30 @@
 
 
 class StartOutcome(StrEnum):
-    """What became of an order to start a run."""
+    """The result of a call that starts a run."""
 
     STARTED = 'started'
-    # The order came from a leader that has been superseded.
+    # The upstream has seen the fence of a later leader.
     SUPERSEDED = 'superseded'
-    # The run, or a later one, has been stopped or has ended there.
+    # This run or a later one of the task was stopped or has ended there.
     OLD = 'old'
-    # The order's lease had passed when it arrived.
+    # The call's lease had expired when it arrived.
     LATE = 'late'
-    # There is no room for it.
+    # The upstream lacks the capacity for the run.
     NO_ROOM = 'room'
-    # The upstream refuses work for now; it has done nothing.
+    # The upstream refuses work for now; the call had no effect.
     UNHEALTHY = 'unhealthy'
-    # Another life of the upstream answers.
+    # Another incarnation of the upstream answered.
     OTHER_LIFE = 'other_life'
-    # The order makes no sense to the upstream.
+    # The upstream rejected the call as malformed.
     INVALID = 'invalid'
-    # There was no answer: the order may be carried out, also later.
+    # There was no answer: the call may still take effect, even later.
     UNANSWERED = 'unanswered'
 
 
 @dataclass(frozen=True, slots=True)
 class HeldRun:
-    """A run that the upstream lists."""
+    """A run that the upstream reports as running."""
 
     task: TaskId
     run: int
@@ -41,15 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Holding:
-    """What an upstream says of itself."""
+    """The answer of an upstream to a poll."""
 
-    # The upstream's clock when it answered, milliseconds.
+    # The upstream's clock at the time of its answer, milliseconds.
     clock_ms: int
-    # When this life of the upstream began, milliseconds since 1970; 0 if
-    # it didn't say.
+    # Start of this incarnation of the upstream, milliseconds since 1970; 0
+    # if the answer lacks it.
     born_ms: int
     running: tuple[HeldRun, ...]
-    # Ends that have not been acknowledged, oldest first.
+    # Ended runs that have not been acknowledged, oldest first.
     ended: tuple[EndRow, ...]
 
 
@@ -58,32 +58,42 @@
 
 
 class UpstreamClient(Protocol):
-    """Calls the upstream on this host; may be used by several tasks.
+    """Calls the upstream on this host; safe for use by several threads.
 
-    `instance` names the life of the upstream that is meant; empty for
-    whichever is there. Times are on the upstream's clock.
+    `instance` is the identity that the upstream must have to accept the
+    call; empty to accept any. Times are on the upstream's clock.
     """
 
     def start(
         self, instance: str, order: RunOrder, fence: int, lease_until_ms: int
     ) -> tuple[StartOutcome, int]:
-        """Start a run; return also the clock, or 0 if it isn't known."""
+        """Start a run.
+
+        Returns the outcome and the upstream's clock in milliseconds, or 0
+        if the answer lacks it.
+        """
 
     def stop(self, instance: str, task: TaskId, run: int, fence: int) -> bool:
-        """Stop a run; tell whether this life of the upstream answered."""
+        """Stop a run.
+
+        Returns whether the upstream with this identity answered.
+        """
 
     def hold(
         self,
         instance: str,
         fence: int,
-        noted: int,
+        acknowledged_number: int,
         lease_until_ms: int,
         wait_ms: int,
     ) -> Holding | None:
-        """Renew the lease of all runs and list them.
+        """Renew the lease of all runs, and list running and ended ones.
+
+        The upstream may forget ended runs up to number
+        `acknowledged_number`. With `lease_until_ms` 0 nothing is renewed.
+        Waits up to `wait_ms` for a run to end. Returns None if there was no
+        answer, or if another incarnation answered.
 
-        `noted` is the highest number of an end that may be forgotten;
-        with `lease_until_ms` 0 nothing is renewed. Waits up to `wait_ms`
-        for a new end. Returns None if there was no answer, or another life
-        answered. Raises `UpstreamSuperseded`.
+        Raises:
+            UpstreamSuperseded: The upstream has seen a later fence.
         """
--- a/baobabgap/upstreams/_clock.py
+++ b/baobabgap/upstreams/_clock.py
@@ -1,61 +1,68 @@
-"""Following the upstream's clock, and when its lease has surely lapsed."""
+"""Estimates the upstream's clock and bounds the end of its leases."""
 
 from typing import Final
 
 from baobabgap.dispatch import CLOCK_DRIFT
 
-# Milliseconds that the upstream may take to end runs without a lease.
+# Milliseconds that the upstream may take to end runs whose lease expired.
 _STOP_SLACK_MS: Final = 100
 
 
 class LeaseClock:
-    """The upstream's clock as read last, and the latest lease given.
+    """The last reading of the upstream's clock, and its latest lease.
 
-    Local times are seconds on a clock that goes on while the host is
-    suspended.
+    Local times are seconds of `boot_time`, which also counts the time for
+    which the host is suspended.
     """
 
-    def __init__(self, began_at: float, longest_lease_s: float) -> None:
+    def __init__(self, started_at: float, longest_lease_s: float) -> None:
         self._clock_ms = 0
-        # Before any reading, leases count from the beginning: an earlier
-        # process of this agent may have given one just before.
-        self._read_at = began_at
-        # The latest end of a lease that was sent, answered or not.
-        self._horizon_ms = int(1000 * longest_lease_s)
+        # Until the first reading, the latest lease counts from the start: an
+        # earlier process of this agent may have sent one just before.
+        self._read_at = started_at
+        # The latest end of any lease that was sent, whether answered or not.
+        self._latest_lease_end_ms = int(1000 * longest_lease_s)
         self._is_known = False
 
     @property
     def is_known(self) -> bool:
-        """Tell whether the clock was ever read."""
+        """Whether the clock has been read at least once."""
         return self._is_known
 
     @property
     def last_read_ms(self) -> int:
-        """The last reading: the clock is at least there."""
+        """The last reading in milliseconds, a lower bound of the clock."""
         return self._clock_ms
 
-    def note_reading(self, clock_ms: int, asked_at: float) -> None:
-        """Take a reading from the answer to a call sent at `asked_at`.
+    def record_reading(self, clock_ms: int, sent_at: float) -> None:
+        """Record a reading from the answer to a call sent at `sent_at`.
 
-        The clock stood there no earlier than `asked_at`.
+        The upstream read its clock no earlier than `sent_at`. A reading
+        lower than the last one is ignored.
         """
         if not self._is_known:
-            # An earlier process may have renewed the lease until now.
-            self._horizon_ms += clock_ms
+            # An earlier process may have renewed the lease just before.
+            self._latest_lease_end_ms += clock_ms
             self._is_known = True
         if clock_ms >= self._clock_ms:
             self._clock_ms = clock_ms
-            self._read_at = asked_at
+            self._read_at = sent_at
 
     def estimate_ms(self, now: float) -> int:
-        """Return about where the clock stands."""
+        """Return the estimated reading of the clock at local time `now`."""
         return self._clock_ms + int(1000 * (now - self._read_at))
 
-    def note_lease(self, until_ms: int) -> None:
-        """A lease up to `until_ms` is about to be sent."""
-        self._horizon_ms = max(self._horizon_ms, until_ms)
+    def record_lease(self, until_ms: int) -> None:
+        """Record a lease up to `until_ms`; call this before sending it."""
+        self._latest_lease_end_ms = max(self._latest_lease_end_ms, until_ms)
 
     def has_lapsed(self, now: float) -> bool:
-        """Tell whether no lease that was sent can hold any more."""
-        rest_ms = self._horizon_ms - self._clock_ms + _STOP_SLACK_MS
-        return 1000 * (now - self._read_at) > rest_ms * (1 + CLOCK_DRIFT)
+        """Tell whether every lease that was sent has certainly expired.
+
+        Allows for a slow clock of the upstream and for the time that it
+        takes to end runs.
+        """
+        remaining_ms = (
+            self._latest_lease_end_ms - self._clock_ms + _STOP_SLACK_MS
+        )
+        return 1000 * (now - self._read_at) > remaining_ms * (1 + CLOCK_DRIFT)
--- a/baobabgap/upstreams/_run_agent.py
+++ b/baobabgap/upstreams/_run_agent.py
@@ -1,4 +1,4 @@
-"""The agent beside an upstream: orders, leases, stops and reports."""
+"""Carries out the leader's orders on the upstream and reports to it."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -39,36 +39,39 @@
 from baobabgap.upstreams._run_table import RunTable
 from baobabgap.upstreams._run_table import TrackedRun
 
-# Tasks that send starts and stops; a call that hangs holds one of them.
-_CALLERS: Final = 8
-# The longest wait of one look for ends, milliseconds: several looks fit
-# into a lease, so that a lost one does no harm.
-_LOOK_WAIT_MS: Final = 250
-# The same after a look that got no answer, since an upstream that leaves calls
-# unanswered hides ends for as long as a look waits; and without a leader, as
-# the next one waits for a report, which has to wait for a look.
-_SHORT_LOOK_WAIT_MS: Final = 50
-# Seconds for which looks stay short after one got no answer.
-_WARY_S: Final = 5.0
-# Seconds between two looks at least, while ends wait to be noted.
-_LOOK_PAUSE_S: Final = 0.012
-# Seconds between tries while the upstream doesn't answer.
-_SILENT_PAUSE_S: Final = 0.1
-# Looks without an answer after which the upstream counts as unreachable.
-_SILENT_LOOKS: Final = 3
-# Seconds between repetitions of a stop that got no answer.
-_STOP_PAUSE_S: Final = 0.25
+# Threads that send starts and stops; a call that hangs occupies one.
+_CALLER_THREADS: Final = 8
+# Milliseconds for which a poll waits for a run to end: several polls fit into
+# a lease, so that a lost poll does not let it expire.
+_POLL_WAIT_MS: Final = 250
+# The same shortly after an unanswered poll, since an upstream that leaves
+# calls unanswered delays the news of ended runs by the wait of each lost poll;
+# and without a leader, since the next leader waits for a full report, which
+# in turn waits for the poll in progress.
+_SHORT_POLL_WAIT_MS: Final = 50
+# Seconds for which polls use the short wait after an unanswered one.
+_SHORT_POLL_PERIOD_S: Final = 5.0
+# Seconds between two polls while ended runs wait for acknowledgement, as the
+# upstream then answers at once, or while no lease can be renewed.
+_POLL_PAUSE_S: Final = 0.012
+# Seconds between polls that the upstream doesn't answer or rejects, and
+# between checks for a first leader.
+_POLL_RETRY_PAUSE_S: Final = 0.1
+# Consecutive unanswered polls after which the upstream is unreachable.
+_UNREACHABLE_AFTER_POLLS: Final = 3
+# Seconds between repetitions of an unanswered stop.
+_STOP_RETRY_PAUSE_S: Final = 0.25
 # Seconds between requests for authority.
 _AUTHORITY_PAUSE_S: Final = 0.25
-# Seconds after which a task that has failed runs again.
-_FAILED_TASK_PAUSE_S: Final = 0.2
-# Milliseconds of lease below which a start isn't worth sending.
+# Seconds after which a background thread that failed starts again.
+_THREAD_RESTART_PAUSE_S: Final = 0.2
+# Milliseconds of remaining lease below which no start is sent.
 _SHORTEST_LEASE_MS: Final = 200
 
 
 @dataclass(frozen=True, slots=True)
-class _Stop:
-    """One stop that a caller is to send."""
+class _StopCall:
+    """A stop call to send."""
 
     fence: int
     instance: str
@@ -76,22 +79,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Start:
-    """One start that a caller is to send."""
+class _StartCall:
+    """A start call to send."""
 
-    link: int
+    link_number: int
     fence: int
     instance: str
     order: RunOrder
 
 
 class RunAgent:
-    """The only caller of one upstream.
+    """Starts, stops and watches the runs of one upstream.
 
-    It starts and stops runs as the leader orders, renews the lease of
-    what runs while it has authority to, and reports ends until the leader
-    says that they are durable. Orders of a leader that was superseded, or
-    that came over a link which has ended, are void.
+    No other process calls the upstream. The agent starts and stops runs as
+    the leader orders, renews their lease while the leader grants it the
+    authority to, and reports ended runs until the leader confirms that they
+    are durable. It ignores orders of a superseded leader, and orders that
+    came over a link that has ended.
     """
 
     def __init__(
@@ -106,66 +110,68 @@
         self._pool: Final = pool
         self._metrics: Final = metrics
         self._lock = threading.RLock()
-        # Notified when the looking task should not sleep on.
-        self._changed = threading.Condition(self._lock)
-        self._calls: SimpleQueue[_Start | _Stop | None] = SimpleQueue()
+        # Notified to wake the polling thread from a pause.
+        self._poll_wakeup = threading.Condition(self._lock)
+        self._calls: SimpleQueue[_StartCall | _StopCall | None] = SimpleQueue()
         self._stopping = False
-        self._is_leaving = False
+        self._is_draining = False
         self._connection: Connection | None = None
-        # Counts links; orders of earlier ones are void.
-        self._link = 0
+        # Number of the current link; orders of earlier links are ignored.
+        self._link_number = 0
         self._fence = 0
         self._upstream: UpstreamState | None = None
-        self._begin_life()
+        self._reset_incarnation()
 
     def start(self) -> None:
-        """Begin to look after the upstream."""
-        self._pool.submit(self._run_logged, self._look_until_stopped)
-        for _ in range(_CALLERS):
-            self._pool.submit(self._run_logged, self._send_calls)
+        """Start polling and calling the upstream, in threads of the pool."""
+        self._pool.submit(self._run_with_restarts, self._poll_until_stopped)
+        for _ in range(_CALLER_THREADS):
+            self._pool.submit(self._run_with_restarts, self._send_calls)
 
     def leave(self) -> None:
-        """Take nothing new; a planned stop follows once nothing runs."""
+        """Refuse new runs from now on, before a planned stop."""
         with self._lock:
-            self._is_leaving = True
-            self._tell_upstream()
+            self._is_draining = True
+            self._report_upstream()
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing runs and no end waits to be noted."""
+        """Whether nothing runs and every end is acknowledged."""
         with self._lock:
-            return not self._table.run_by_task and not self._unnoted
+            return (
+                not self._table.run_by_task and not self._unacknowledged_ends
+            )
 
     def stop(self) -> None:
-        """End all tasks."""
+        """End all threads of the agent."""
         with self._lock:
             self._stopping = True
-            self._changed.notify_all()
-        for _ in range(_CALLERS):
+            self._poll_wakeup.notify_all()
+        for _ in range(_CALLER_THREADS):
             self._calls.put(None)
 
     def announce(self, upstream: UpstreamState | None) -> None:
-        """Take note of what the upstream says of itself; None: it left."""
+        """Set what the upstream announces of itself; None if it has left."""
         with self._lock:
-            held = self._upstream
+            current = self._upstream
             is_same = (
-                held is not None
+                current is not None
                 and upstream is not None
-                and held.instance == upstream.instance
-                and held.born_ms == upstream.born_ms
+                and current.instance == upstream.instance
+                and current.born_ms == upstream.born_ms
             )
             if not is_same:
-                self._begin_life()
+                self._reset_incarnation()
             self._upstream = upstream
-            if held != upstream:
+            if current != upstream:
                 log_event(
                     'upstream_announced',
                     instance=upstream.instance if upstream else '',
                     born_ms=upstream.born_ms if upstream else 0,
                     draining=bool(upstream and upstream.is_draining),
                 )
-                self._tell_upstream()
-            self._changed.notify_all()
+                self._report_upstream()
+            self._poll_wakeup.notify_all()
 
     def session(
         self,
@@ -182,46 +188,46 @@
                     newest_fence=self._fence,
                 )
                 return
-            self._link += 1
+            self._link_number += 1
             self._fence = ready.fence
             self._connection = connection
-            # A full report follows the next look with this fence.
-            self._owes_report = True
-            self._authority_asked_at = float('-inf')
-            self._changed.notify_all()
+            # The next poll with this fence triggers a full report.
+            self._is_full_report_due = True
+            self._authority_requested_at = float('-inf')
+            self._poll_wakeup.notify_all()
         try:
             for message in messages:
-                self._take(message)
+                self._handle_message(message)
         finally:
             with self._lock:
                 if self._connection is connection:
                     self._connection = None
-                    self._link += 1
+                    self._link_number += 1
 
-    def _begin_life(self) -> None:
-        """Forget what belongs to an earlier life of the upstream."""
+    def _reset_incarnation(self) -> None:
+        """Discard the state of an earlier incarnation of the upstream."""
         self._table = RunTable()
         self._clock = LeaseClock(boot_time(), self._timing.longest_lease_s)
         self._authority_until_ms = 0
-        # The highest end that the leader has made durable.
-        self._noted = 0
-        # Ends that were seen and are not noted, by number.
-        self._unnoted: dict[int, EndRow] = {}
-        self._silent_looks = 0
-        self._silent_at = float('-inf')
-        self._owes_report = True
-        self._authority_asked_at = float('-inf')
-
-    # Orders.
-
-    def _take(self, message: object) -> None:
+        # The highest number of an end that the leader has made durable.
+        self._acknowledged_number = 0
+        # Ends that the leader has not made durable yet, by number.
+        self._unacknowledged_ends: dict[int, EndRow] = {}
+        self._unanswered_polls = 0
+        self._last_unanswered_at = float('-inf')
+        self._is_full_report_due = True
+        self._authority_requested_at = float('-inf')
+
+    # The leader's orders.
+
+    def _handle_message(self, message: object) -> None:
         match message:
             case StartRuns():
-                self._take_starts(message)
+                self._handle_starts(message)
             case StopRuns(fence=fence, runs=runs):
-                self._take_stops(fence, runs)
+                self._handle_stops(fence, runs)
             case EndsNoted():
-                self._take_noted(message)
+                self._handle_ends_noted(message)
             case Authority(
                 fence=fence, instance=instance, until_clock_ms=until_ms
             ):
@@ -231,57 +237,60 @@
                         upstream is not None and upstream.instance == instance
                     ):
                         self._authority_until_ms = until_ms
-                        self._changed.notify_all()
+                        self._poll_wakeup.notify_all()
 
-    def _take_starts(self, message: StartRuns) -> None:
+    def _handle_starts(self, message: StartRuns) -> None:
         with self._lock:
             upstream = self._upstream
-            is_meant = (
+            is_current = (
                 upstream is not None
                 and upstream.instance == message.instance
                 and upstream.born_ms == message.born_ms
             )
-            if message.fence != self._fence or not is_meant:
-                # The leader will learn of the other life, or is gone.
+            if message.fence != self._fence or not is_current:
+                # The leader is superseded or will learn of the new
+                # incarnation.
                 return
             assert upstream is not None
-            if upstream.is_draining or self._is_leaving:
+            if upstream.is_draining or self._is_draining:
                 rows = tuple(
                     RunRow(order.task, order.run, False)
                     for order in message.orders
                 )
-                self._send_gone(rows, 'draining')
+                self._send_runs_gone(rows, 'draining')
                 return
             for order in message.orders:
                 self._table.run_by_task[order.task] = TrackedRun(
                     order.task, order.run, order.demand
                 )
                 self._calls.put(
-                    _Start(self._link, self._fence, message.instance, order)
+                    _StartCall(
+                        self._link_number, self._fence, message.instance, order
+                    )
                 )
 
-    def _take_stops(self, fence: int, rows: tuple[RunRow, ...]) -> None:
+    def _handle_stops(self, fence: int, rows: tuple[RunRow, ...]) -> None:
         with self._lock:
             if fence != self._fence:
                 return
             for row in rows:
                 run = self._table.get(row.task, row.run)
                 if run is None:
-                    self._report_missing(row)
+                    self._report_unknown_run(row)
                     continue
                 run.must_stop = True
-            self._order_stops()
+            self._queue_due_stops()
 
-    def _report_missing(self, row: RunRow) -> None:
-        """Answer for a run that is not here: it never was, or has ended."""
+    def _report_unknown_run(self, row: RunRow) -> None:
+        """Report a run that is not here as gone, unless it has ended."""
         is_ended = any(
             end.task == row.task and end.run == row.run
-            for end in self._unnoted.values()
+            for end in self._unacknowledged_ends.values()
         )
         if not is_ended:
-            self._send_gone((row,), 'not here')
+            self._send_runs_gone((row,), 'not here')
 
-    def _take_noted(self, message: EndsNoted) -> None:
+    def _handle_ends_noted(self, message: EndsNoted) -> None:
         with self._lock:
             upstream = self._upstream
             if (
@@ -290,64 +299,70 @@
                 or upstream.born_ms != message.born_ms
             ):
                 return
-            self._noted = max(self._noted, message.number)
-            for number in [n for n in self._unnoted if n <= self._noted]:
-                del self._unnoted[number]
-            self._changed.notify_all()
+            self._acknowledged_number = max(
+                self._acknowledged_number, message.number
+            )
+            for number in [
+                n
+                for n in self._unacknowledged_ends
+                if n <= self._acknowledged_number
+            ]:
+                del self._unacknowledged_ends[number]
+            self._poll_wakeup.notify_all()
 
-    # Starts.
+    # Start calls.
 
     def _send_calls(self) -> None:
         while True:
             match self._calls.get():
-                case _Start() as start:
+                case _StartCall() as start:
                     self._send_start(start)
-                case _Stop() as stop:
+                case _StopCall() as stop:
                     self._send_stop(stop)
                 case None:
                     return
 
-    def _send_start(self, start: _Start) -> None:
+    def _send_start(self, start: _StartCall) -> None:
         lease_until_ms = self._lease_for_start(start)
         if lease_until_ms:
-            asked_at = boot_time()
+            sent_at = boot_time()
             outcome, clock_ms = self._client.start(
                 start.instance, start.order, start.fence, lease_until_ms
             )
-            self._take_outcome(start, outcome, clock_ms, asked_at)
+            self._handle_start_outcome(start, outcome, clock_ms, sent_at)
 
-    def _lease_for_start(self, job: _Start) -> int:
-        """Return the lease for a start, or 0 if it isn't sent."""
-        order = job.order
+    def _lease_for_start(self, call: _StartCall) -> int:
+        """Return the end of the lease for a start, or 0 to not send it."""
+        order = call.order
         with self._lock:
             run = self._table.get(order.task, order.run)
             if run is None:
                 return 0
-            if job.link != self._link or run.must_stop:
+            if call.link_number != self._link_number or run.must_stop:
                 self._table.remove(order.task, order.run)
-                self._send_gone((run.row,), 'not sent')
+                self._send_runs_gone((run.row,), 'not sent')
                 return 0
-            until_ms = self._next_lease_ms()
+            until_ms = self._next_lease_end_ms()
             now_ms = self._clock.estimate_ms(boot_time())
             if until_ms - now_ms < _SHORTEST_LEASE_MS:
                 self._table.remove(order.task, order.run)
-                self._send_gone((run.row,), 'no authority')
+                self._send_runs_gone((run.row,), 'no authority')
                 return 0
-            self._clock.note_lease(until_ms)
+            self._clock.record_lease(until_ms)
             return until_ms
 
-    def _take_outcome(
+    def _handle_start_outcome(
         self,
-        job: _Start,
+        call: _StartCall,
         outcome: StartOutcome,
         clock_ms: int,
-        asked_at: float,
+        sent_at: float,
     ) -> None:
-        order = job.order
+        order = call.order
         self._metrics.count(f'baobabgap_starts_total{{end="{outcome}"}}')
         with self._lock:
             if clock_ms:
-                self._clock.note_reading(clock_ms, asked_at)
+                self._clock.record_reading(clock_ms, sent_at)
             run = self._table.get(order.task, order.run)
             if run is None:
                 return
@@ -356,14 +371,14 @@
                 case StartOutcome.STARTED:
                     run.is_confirmed = True
                 case StartOutcome.UNANSWERED:
-                    # It may be carried out seconds later, unless a stop
-                    # comes first.
+                    # The upstream may still carry it out seconds later,
+                    # unless a stop arrives first.
                     run.must_stop = not run.is_confirmed
                     run.reason = 'unanswered'
-                    self._order_stops()
+                    self._queue_due_stops()
                 case _:
                     self._table.remove(order.task, order.run)
-                    self._send_gone((run.row,), str(outcome))
+                    self._send_runs_gone((run.row,), str(outcome))
         if outcome is not StartOutcome.STARTED:
             log_event(
                 'start_refused',
@@ -371,22 +386,22 @@
                 task=f'{order.task.step}.{order.task.index}',
                 run=order.run,
                 outcome=outcome,
-                fence=job.fence,
+                fence=call.fence,
             )
 
-    # Stops.
+    # Stop calls.
 
-    def _order_stops(self) -> None:
-        """Have callers send the stops that are due; the lock is held."""
+    def _queue_due_stops(self) -> None:
+        """Queue the stops that are due; the caller holds the lock."""
         upstream = self._upstream
         if upstream is None:
             return
         now = boot_time()
-        for run in self._table.to_stop(now - _STOP_PAUSE_S):
+        for run in self._table.stops_due(now - _STOP_RETRY_PAUSE_S):
             run.stop_sent_at = now
-            self._calls.put(_Stop(self._fence, upstream.instance, run))
+            self._calls.put(_StopCall(self._fence, upstream.instance, run))
 
-    def _send_stop(self, stop: _Stop) -> None:
+    def _send_stop(self, stop: _StopCall) -> None:
         run = stop.run
         answered = self._client.stop(
             stop.instance, run.task, run.run, stop.fence
@@ -395,181 +410,200 @@
             if answered and run.stopped_at is None:
                 run.stopped_at = boot_time()
 
-    # Looks.
+    # Polls.
 
-    def _look_until_stopped(self) -> None:
+    def _poll_until_stopped(self) -> None:
         while True:
             with self._lock:
                 if self._stopping:
                     return
                 upstream = self._upstream
                 fence = self._fence
-                noted = self._noted
-                lease_ms = self._next_lease_ms() if self._clock.is_known else 0
-                if lease_ms:
-                    self._clock.note_lease(lease_ms)
-                has_unnoted = bool(self._unnoted)
-                owes = self._owes_report
+                acknowledged_number = self._acknowledged_number
+                lease_until_ms = (
+                    self._next_lease_end_ms() if self._clock.is_known else 0
+                )
+                if lease_until_ms:
+                    self._clock.record_lease(lease_until_ms)
+                has_unacknowledged_ends = bool(self._unacknowledged_ends)
+                is_full_report_due = self._is_full_report_due
             if not fence:
-                self._pause(_SILENT_PAUSE_S)
+                self._pause(_POLL_RETRY_PAUSE_S)
                 continue
-            asked_at = boot_time()
-            wait_ms = 0 if owes or not lease_ms else self._look_wait_ms()
+            sent_at = boot_time()
+            wait_ms = (
+                0
+                if is_full_report_due or not lease_until_ms
+                else self._poll_wait_ms()
+            )
             try:
-                holding = self._client.hold(
+                report = self._client.hold(
                     upstream.instance if upstream else '',
                     fence,
-                    noted,
-                    lease_ms,
+                    acknowledged_number,
+                    lease_until_ms,
                     wait_ms,
                 )
             except UpstreamSuperseded:
                 log_event('upstream_superseded', fence=fence)
-                self._pause(_SILENT_PAUSE_S)
+                self._pause(_POLL_RETRY_PAUSE_S)
                 continue
-            if holding is None:
-                self._take_silence()
-                if self._silent_looks >= _SILENT_LOOKS:
-                    self._pause(_SILENT_PAUSE_S)
+            if report is None:
+                self._handle_unanswered_poll()
+                if self._unanswered_polls >= _UNREACHABLE_AFTER_POLLS:
+                    self._pause(_POLL_RETRY_PAUSE_S)
                 continue
-            self._take_holding(upstream, fence, holding, asked_at)
-            if has_unnoted or not lease_ms:
-                self._pause(_LOOK_PAUSE_S)
+            self._handle_report(upstream, fence, report, sent_at)
+            if has_unacknowledged_ends or not lease_until_ms:
+                self._pause(_POLL_PAUSE_S)
 
-    def _take_holding(
+    def _handle_report(
         self,
         upstream: UpstreamState | None,
         fence: int,
-        holding: Holding,
-        asked_at: float,
+        report: Holding,
+        sent_at: float,
     ) -> None:
         with self._lock:
             if self._upstream is not upstream:
-                held = self._upstream
+                current = self._upstream
                 if (
                     upstream is None
-                    or held is None
+                    or current is None
                     or (
-                        held.instance != upstream.instance
-                        or held.born_ms != upstream.born_ms
+                        current.instance != upstream.instance
+                        or current.born_ms != upstream.born_ms
                     )
                 ):
                     return
             if (
                 self._upstream is not None
-                and holding.born_ms
+                and report.born_ms
                 and self._upstream.born_ms
-                and holding.born_ms != self._upstream.born_ms
+                and report.born_ms != self._upstream.born_ms
             ):
-                # It has begun a new life under the same identity.
-                self._begin_life()
+                # The upstream restarted under the same identity.
+                self._reset_incarnation()
                 self._upstream = replace(
-                    self._upstream, born_ms=holding.born_ms
+                    self._upstream, born_ms=report.born_ms
                 )
-                self._tell_upstream()
+                self._report_upstream()
                 return
-            self._clock.note_reading(holding.clock_ms, asked_at)
-            self._note_reachable()
-            self._order_stops()
-            self._ask_for_authority()
-            found, gone = self._table.take_holding(holding, asked_at)
+            self._clock.record_reading(report.clock_ms, sent_at)
+            self._handle_answered_poll()
+            self._queue_due_stops()
+            self._request_authority()
+            unknown, gone = self._table.apply_report(report, sent_at)
             new_ends = tuple(
                 row
-                for row in holding.ended
-                if row.number > self._noted and row.number not in self._unnoted
+                for row in report.ended
+                if row.number > self._acknowledged_number
+                and row.number not in self._unacknowledged_ends
+            )
+            self._unacknowledged_ends.update(
+                {row.number: row for row in new_ends}
             )
-            self._unnoted.update({row.number: row for row in new_ends})
-            if self._owes_report:
-                self._report_all(fence)
+            if self._is_full_report_due:
+                self._send_full_report(fence)
             else:
-                self._report_changes(new_ends, found, gone)
+                self._send_run_changes(new_ends, unknown, gone)
 
-    def _report_all(self, fence: int) -> None:
+    def _send_full_report(self, fence: int) -> None:
         if self._connection is None or fence != self._fence:
             return
         if self._upstream is None:
             if not self._table.run_by_task:
                 self._connection.send(UpstreamQuiet(self._fence))
             return
-        self._owes_report = False
+        self._is_full_report_due = False
         self._connection.send(
             FullReport(
                 self._fence,
-                self._described(),
+                self._reported_upstream(),
                 self._table.rows(),
-                tuple(self._unnoted[n] for n in sorted(self._unnoted)),
+                tuple(
+                    self._unacknowledged_ends[n]
+                    for n in sorted(self._unacknowledged_ends)
+                ),
             )
         )
 
-    def _report_changes(
+    def _send_run_changes(
         self,
         new_ends: tuple[EndRow, ...],
-        found: list[RunRow],
+        unknown: list[RunRow],
         gone: list[RunRow],
     ) -> None:
         upstream = self._upstream
         if self._connection is None or upstream is None:
             return
-        life = (upstream.instance, upstream.born_ms)
-        # Ends go first: a run that ended must not look as if it never ran.
+        incarnation = (upstream.instance, upstream.born_ms)
+        # Ends go first: otherwise the leader could take a run that ended for
+        # one that never ran.
         if new_ends:
-            self._connection.send(RunsEnded(*life, new_ends))
-        if found:
-            self._connection.send(RunsFound(*life, tuple(found)))
+            self._connection.send(RunsEnded(*incarnation, new_ends))
+        if unknown:
+            self._connection.send(RunsFound(*incarnation, tuple(unknown)))
         if gone:
-            self._connection.send(RunsGone(*life, tuple(gone), 'stopped'))
+            self._connection.send(
+                RunsGone(*incarnation, tuple(gone), 'stopped')
+            )
 
-    def _look_wait_ms(self) -> int:
-        is_wary = boot_time() - self._silent_at < _WARY_S
-        if is_wary or self._connection is None:
-            return _SHORT_LOOK_WAIT_MS
-        return _LOOK_WAIT_MS
+    def _poll_wait_ms(self) -> int:
+        had_unanswered_poll = (
+            boot_time() - self._last_unanswered_at < _SHORT_POLL_PERIOD_S
+        )
+        if had_unanswered_poll or self._connection is None:
+            return _SHORT_POLL_WAIT_MS
+        return _POLL_WAIT_MS
 
-    def _take_silence(self) -> None:
-        """The upstream doesn't answer: judge by its lease what still runs."""
+    def _handle_unanswered_poll(self) -> None:
+        """Count an unanswered poll; once the lease expired, drop the runs."""
         with self._lock:
-            self._silent_looks += 1
-            self._silent_at = boot_time()
-            if self._silent_looks == _SILENT_LOOKS:
-                self._set_reachable(False)
+            self._unanswered_polls += 1
+            self._last_unanswered_at = boot_time()
+            if self._unanswered_polls == _UNREACHABLE_AFTER_POLLS:
+                self._report_reachability(False)
             if not self._clock.has_lapsed(boot_time()):
                 return
             rows = self._table.rows()
             if rows:
                 log_event('lease_lapsed', runs=len(rows))
                 self._table = RunTable()
-                self._send_gone(rows, 'lapsed')
-            if self._owes_report and self._connection is not None:
-                # It can't be asked, but it certainly runs nothing.
+                self._send_runs_gone(rows, 'lapsed')
+            if self._is_full_report_due and self._connection is not None:
+                # The upstream can't be polled, but with its lease expired it
+                # runs nothing.
                 self._connection.send(UpstreamQuiet(self._fence))
 
-    def _note_reachable(self) -> None:
-        if self._silent_looks >= _SILENT_LOOKS:
-            self._set_reachable(True)
-        self._silent_looks = 0
+    def _handle_answered_poll(self) -> None:
+        if self._unanswered_polls >= _UNREACHABLE_AFTER_POLLS:
+            self._report_reachability(True)
+        self._unanswered_polls = 0
 
-    def _set_reachable(self, is_reachable: bool) -> None:
+    def _report_reachability(self, is_reachable: bool) -> None:
         log_event('upstream_reachable', reachable=is_reachable)
-        self._tell_upstream()
+        self._report_upstream()
 
-    def _described(self) -> UpstreamState | None:
-        """Return the upstream as the leader should see it now."""
+    def _reported_upstream(self) -> UpstreamState | None:
+        """Return the upstream's state as reported to the leader."""
         if self._upstream is None:
             return None
         return replace(
             self._upstream,
-            is_draining=self._upstream.is_draining or self._is_leaving,
-            is_reachable=self._silent_looks < _SILENT_LOOKS,
+            is_draining=self._upstream.is_draining or self._is_draining,
+            is_reachable=self._unanswered_polls < _UNREACHABLE_AFTER_POLLS,
         )
 
-    def _tell_upstream(self) -> None:
+    def _report_upstream(self) -> None:
         if self._connection is None:
             return
-        # A full report that is due says the same, but of a life only.
-        if not self._owes_report or self._upstream is None:
-            self._connection.send(UpstreamChanged(self._described()))
+        # A full report that is due covers the change, but a full report needs
+        # an upstream that has announced itself.
+        if not self._is_full_report_due or self._upstream is None:
+            self._connection.send(UpstreamChanged(self._reported_upstream()))
 
-    def _send_gone(self, rows: tuple[RunRow, ...], reason: str) -> None:
+    def _send_runs_gone(self, rows: tuple[RunRow, ...], reason: str) -> None:
         upstream = self._upstream
         if self._connection is not None and upstream is not None:
             self._connection.send(
@@ -578,19 +612,22 @@
 
     # Leases.
 
-    def _next_lease_ms(self) -> int:
-        """Return how far a lease may go now, on the upstream's clock."""
+    def _next_lease_end_ms(self) -> int:
+        """Return the latest permitted end of a lease sent now.
+
+        In milliseconds of the upstream's clock.
+        """
         longest_ms = int(1000 * self._timing.longest_lease_s)
         now_ms = self._clock.estimate_ms(boot_time())
         return min(now_ms + longest_ms, self._authority_until_ms)
 
-    def _ask_for_authority(self) -> None:
+    def _request_authority(self) -> None:
         now = boot_time()
-        if now - self._authority_asked_at < _AUTHORITY_PAUSE_S:
+        if now - self._authority_requested_at < _AUTHORITY_PAUSE_S:
             return
         if self._connection is None or self._upstream is None:
             return
-        self._authority_asked_at = now
+        self._authority_requested_at = now
         self._connection.send(
             AuthorityRequest(
                 self._clock.last_read_ms,
@@ -602,10 +639,13 @@
     def _pause(self, seconds: float) -> None:
         with self._lock:
             if not self._stopping:
-                self._changed.wait(seconds)
+                self._poll_wakeup.wait(seconds)
+
+    def _run_with_restarts(self, run: Callable[[], None]) -> None:
+        """Run a thread's function, and again after each exception.
 
-    def _run_logged(self, run: Callable[[], None]) -> None:
-        """Run a task again should it fail: the upstream needs its agent."""
+        Without the agent, the upstream's lease expires and its runs end.
+        """
         while not self._stopping:
             try:
                 run()
@@ -615,4 +655,4 @@
                     error=repr(error),
                     trace=traceback.format_exc(limit=-4),
                 )
-                self._pause(_FAILED_TASK_PAUSE_S)
+                self._pause(_THREAD_RESTART_PAUSE_S)
--- a/baobabgap/upstreams/_run_table.py
+++ b/baobabgap/upstreams/_run_table.py
@@ -1,4 +1,4 @@
-"""The runs that an agent has ordered or found on its upstream."""
+"""The runs that an agent started or discovered on its upstream."""
 
 from dataclasses import dataclass
 
@@ -11,80 +11,87 @@
 
 @dataclass(slots=True)
 class TrackedRun:
-    """One run, from its order to its end."""
+    """A run, from its start order until it has ended."""
 
     task: TaskId
     run: int
     demand: Demand = Demand()
-    # Whether the upstream has listed it or has acknowledged its start.
+    # Whether the upstream has listed the run or confirmed its start.
     is_confirmed: bool = False
-    # Whether a start is under way whose answer has not come.
+    # Whether the call that starts it has not been answered yet.
     is_in_flight: bool = True
-    # Whether it is to be stopped; a stop is repeated until answered.
+    # Whether to stop the run; the stop is repeated until answered.
     must_stop: bool = False
-    # When a stop was sent last, in seconds of `boot_time`.
+    # Time of the last stop call, seconds of `boot_time`.
     stop_sent_at: float = float('-inf')
-    # When a stop was answered; the run can't come into being after that.
+    # Time of the answer to a stop; the run cannot start after that.
     stopped_at: float | None = None
-    # Why it is reported as gone when the upstream no longer lists it.
+    # The reason to report once the upstream no longer lists the run.
     reason: str = 'stopped'
 
     @property
     def row(self) -> RunRow:
-        """The run as the leader is told of it."""
+        """The run in the form that is reported to the leader."""
         return RunRow(self.task, self.run, self.is_confirmed, self.demand)
 
 
 class RunTable:
-    """All runs of one life of the upstream; the caller holds a lock."""
+    """All runs of one incarnation of the upstream.
+
+    Not safe for use by several threads: the caller holds a lock.
+    """
 
     def __init__(self) -> None:
         self.run_by_task: dict[TaskId, TrackedRun] = {}
 
     def rows(self) -> tuple[RunRow, ...]:
-        """Return all runs that exist or may come into being."""
+        """Return all runs that are running or may still start."""
         return tuple(run.row for run in self.run_by_task.values())
 
     def get(self, task: TaskId, run: int) -> TrackedRun | None:
-        """Return a run of exactly that number."""
+        """Return the run of a task with exactly this run number."""
         tracked = self.run_by_task.get(task)
         return tracked if tracked and tracked.run == run else None
 
     def remove(self, task: TaskId, run: int) -> None:
-        """Forget a run."""
+        """Remove a run, if it is in the table."""
         if self.get(task, run) is not None:
             del self.run_by_task[task]
 
-    def take_holding(
-        self, holding: Holding, asked_at: float
+    def apply_report(
+        self, report: Holding, sent_at: float
     ) -> tuple[list[RunRow], list[RunRow]]:
-        """Compare with the upstream's lists from a call sent at `asked_at`.
+        """Reconcile with the report to a poll sent at `sent_at`.
 
-        Returns the runs that nobody here knew, and those whose stop was
-        answered before `asked_at` and which are not listed: they don't run
-        and never will.
+        Returns the runs that the table didn't have, and the removed runs:
+        those whose stop was answered before `sent_at` and that the report
+        doesn't list, so that they don't run and never will.
         """
-        found = [
-            self._find(held)
-            for held in holding.running
-            if not self._confirm(held)
+        unknown = [
+            self._add_unknown(listed)
+            for listed in report.running
+            if not self._confirm(listed)
         ]
-        for row in holding.ended:
-            self.remove(row.task, row.run)
-        listed = {(held.task, held.run) for held in holding.running}
+        for end in report.ended:
+            self.remove(end.task, end.run)
+        listed_runs = {(listed.task, listed.run) for listed in report.running}
         gone = [
             run
             for run in self.run_by_task.values()
-            if (run.task, run.run) not in listed
+            if (run.task, run.run) not in listed_runs
             and run.stopped_at is not None
-            and run.stopped_at <= asked_at
+            and run.stopped_at <= sent_at
         ]
         for run in gone:
             del self.run_by_task[run.task]
-        return found, [run.row for run in gone]
+        return unknown, [run.row for run in gone]
+
+    def stops_due(self, sent_before: float) -> list[TrackedRun]:
+        """Return the runs to stop whose stop call is due.
 
-    def to_stop(self, sent_before: float) -> list[TrackedRun]:
-        """Return the runs to be stopped whose last stop got no answer."""
+        Omits runs whose start is in flight, whose stop was answered, or
+        whose last stop call is later than `sent_before`.
+        """
         return [
             run
             for run in self.run_by_task.values()
@@ -94,18 +101,18 @@
             and run.stop_sent_at <= sent_before
         ]
 
-    def _confirm(self, held: HeldRun) -> bool:
-        """Note that a known run is there; False if it is unknown."""
-        tracked = self.run_by_task.get(held.task)
-        if tracked is None or tracked.run < held.run:
+    def _confirm(self, listed: HeldRun) -> bool:
+        """Mark a known run as confirmed; return False for an unknown one."""
+        tracked = self.run_by_task.get(listed.task)
+        if tracked is None or tracked.run < listed.run:
             return False
-        if tracked.run == held.run:
+        if tracked.run == listed.run:
             tracked.is_confirmed = True
         return True
 
-    def _find(self, held: HeldRun) -> RunRow:
+    def _add_unknown(self, listed: HeldRun) -> RunRow:
         run = TrackedRun(
-            held.task, held.run, is_confirmed=True, is_in_flight=False
+            listed.task, listed.run, is_confirmed=True, is_in_flight=False
         )
-        self.run_by_task[held.task] = run
+        self.run_by_task[listed.task] = run
         return run.row
--- a/baobabgap/upstreams/tests/test_run_table.py
+++ b/baobabgap/upstreams/tests/test_run_table.py
@@ -1,4 +1,8 @@
-"""What an agent concludes from its upstream's lists and clock."""
+"""Tests reconciliation of runs and lease expiry.
+
+A wrong conclusion from the upstream's reports or clock makes the leader
+start a task again that is done or still runs.
+"""
 
 import unittest
 
@@ -16,7 +20,7 @@
 OTHER = TaskId('b', 0, 0)
 
 
-def holding(*running: HeldRun, ended: tuple[EndRow, ...] = ()) -> Holding:
+def report(*running: HeldRun, ended: tuple[EndRow, ...] = ()) -> Holding:
     return Holding(1000, 1, running, ended)
 
 
@@ -27,78 +31,78 @@
         self.table.run_by_task[TASK] = self.tracked
 
     def test_listed_run_is_confirmed(self) -> None:
-        found, gone = self.table.take_holding(holding(HeldRun(TASK, 2)), 1.0)
-        self.assertEqual(([], []), (found, gone))
+        unknown, gone = self.table.apply_report(report(HeldRun(TASK, 2)), 1.0)
+        self.assertEqual(([], []), (unknown, gone))
         self.assertTrue(self.tracked.is_confirmed)
 
-    def test_unanswered_start_may_come_into_being(self) -> None:
-        """A run that is not listed yet is not gone for that."""
-        _, gone = self.table.take_holding(holding(), 1.0)
+    def test_unlisted_start_is_not_gone(self) -> None:
+        """A start call may take effect after the report was made."""
+        _, gone = self.table.apply_report(report(), 1.0)
         self.assertEqual([], gone)
         self.assertEqual(1, len(self.table.rows()))
 
-    def test_stopped_run_is_gone_only_after_a_later_look(self) -> None:
+    def test_stopped_run_is_gone_only_after_a_later_poll(self) -> None:
         self.tracked.must_stop = True
         self.tracked.stopped_at = 5.0
-        _, gone = self.table.take_holding(holding(), 4.9)
+        _, gone = self.table.apply_report(report(), 4.9)
         self.assertEqual([], gone)
-        _, gone = self.table.take_holding(holding(HeldRun(TASK, 2)), 5.1)
+        _, gone = self.table.apply_report(report(HeldRun(TASK, 2)), 5.1)
         self.assertEqual([], gone)
-        _, gone = self.table.take_holding(holding(), 5.2)
+        _, gone = self.table.apply_report(report(), 5.2)
         self.assertEqual([RunRow(TASK, 2, True)], gone)
         self.assertEqual((), self.table.rows())
 
     def test_stopped_run_that_had_ended_is_not_gone(self) -> None:
-        """Or its task would run again though it is done."""
+        """Reported as gone, its task would run again though it is done."""
         self.tracked.must_stop = True
         self.tracked.stopped_at = 5.0
         end = EndRow(1, TASK, 2, RunEnd.DONE)
-        _, gone = self.table.take_holding(holding(ended=(end,)), 5.1)
+        _, gone = self.table.apply_report(report(ended=(end,)), 5.1)
         self.assertEqual([], gone)
         self.assertEqual((), self.table.rows())
 
-    def test_run_that_nobody_ordered_is_found(self) -> None:
-        found, _ = self.table.take_holding(holding(HeldRun(OTHER, 1)), 1.0)
-        self.assertEqual([RunRow(OTHER, 1, True)], found)
+    def test_run_without_an_order_is_reported(self) -> None:
+        unknown, _ = self.table.apply_report(report(HeldRun(OTHER, 1)), 1.0)
+        self.assertEqual([RunRow(OTHER, 1, True)], unknown)
 
-    def test_stop_waits_for_the_start_and_is_repeated(self) -> None:
+    def test_stop_waits_for_start_and_is_repeated(self) -> None:
         self.tracked.must_stop = True
         self.tracked.is_in_flight = True
-        self.assertEqual([], self.table.to_stop(1.0))
+        self.assertEqual([], self.table.stops_due(1.0))
         self.tracked.is_in_flight = False
-        self.assertEqual([self.tracked], self.table.to_stop(1.0))
+        self.assertEqual([self.tracked], self.table.stops_due(1.0))
         self.tracked.stop_sent_at = 1.5
-        self.assertEqual([], self.table.to_stop(1.4))
-        self.assertEqual([self.tracked], self.table.to_stop(1.5))
+        self.assertEqual([], self.table.stops_due(1.4))
+        self.assertEqual([self.tracked], self.table.stops_due(1.5))
         self.tracked.stopped_at = 1.6
-        self.assertEqual([], self.table.to_stop(9.0))
+        self.assertEqual([], self.table.stops_due(9.0))
 
 
 class LeaseClockTest(unittest.TestCase):
-    def test_lapses_on_the_slowest_clock(self) -> None:
+    def test_lease_lapses_by_the_slowest_clock(self) -> None:
         clock = LeaseClock(99.0, 1.0)
-        clock.note_reading(10_000, asked_at=100.0)
-        clock.note_lease(11_000)
+        clock.record_reading(10_000, sent_at=100.0)
+        clock.record_lease(11_000)
         self.assertFalse(clock.has_lapsed(101.0))
-        # A clock that is 2% slow shows 10,980 now.
+        # An upstream clock that is 2% slow reads 10,980 at 101.0.
         self.assertFalse(clock.has_lapsed(101.1))
         self.assertTrue(clock.has_lapsed(101.2))
 
-    def test_lease_of_an_earlier_process_lapses_too(self) -> None:
+    def test_lease_of_earlier_process_lapses(self) -> None:
         clock = LeaseClock(100.0, 1.0)
         self.assertFalse(clock.has_lapsed(101.1))
         self.assertTrue(clock.has_lapsed(101.2))
 
-    def test_first_reading_tells_nothing_of_earlier_leases(self) -> None:
+    def test_first_reading_does_not_shorten_earlier_leases(self) -> None:
         clock = LeaseClock(100.0, 1.0)
-        clock.note_reading(50_000, asked_at=100.5)
+        clock.record_reading(50_000, sent_at=100.5)
         self.assertFalse(clock.has_lapsed(101.6))
         self.assertTrue(clock.has_lapsed(101.7))
 
-    def test_late_answers_do_not_set_it_back(self) -> None:
+    def test_late_answer_does_not_set_clock_back(self) -> None:
         clock = LeaseClock(99.0, 1.0)
-        clock.note_reading(10_000, asked_at=100.0)
-        clock.note_reading(9_000, asked_at=99.0)
+        clock.record_reading(10_000, sent_at=100.0)
+        clock.record_reading(9_000, sent_at=99.0)
         self.assertEqual(10_500, clock.estimate_ms(100.5))
 
 
