--- a/baobabgap/upstreams/_run_agent.py
+++ b/baobabgap/upstreams/_run_agent.py
@@ -420,11 +420,11 @@
                 upstream = self._upstream
                 fence = self._fence
                 acknowledged_number = self._acknowledged_number
-                lease_until_ms = (
+                lease_end_ms = (
                     self._next_lease_end_ms() if self._clock.is_known else 0
                 )
-                if lease_until_ms:
-                    self._clock.record_lease(lease_until_ms)
+                if lease_end_ms:
+                    self._clock.record_lease(lease_end_ms)
                 has_unacknowledged_ends = bool(self._unacknowledged_ends)
                 is_full_report_due = self._is_full_report_due
             if not fence:
@@ -433,7 +433,7 @@
             sent_at = boot_time()
             wait_ms = (
                 0
-                if is_full_report_due or not lease_until_ms
+                if is_full_report_due or not lease_end_ms
                 else self._poll_wait_ms()
             )
             try:
@@ -441,7 +441,7 @@
                     upstream.instance if upstream else '',
                     fence,
                     acknowledged_number,
-                    lease_until_ms,
+                    lease_end_ms,
                     wait_ms,
                 )
             except UpstreamSuperseded:
@@ -454,7 +454,7 @@
                     self._pause(_POLL_RETRY_PAUSE_S)
                 continue
             self._handle_report(upstream, fence, report, sent_at)
-            if has_unacknowledged_ends or not lease_until_ms:
+            if has_unacknowledged_ends or not lease_end_ms:
                 self._pause(_POLL_PAUSE_S)
 
     def _handle_report(
