--- a/baobabgap/dispatch/tests/fake_upstream.py
+++ b/baobabgap/dispatch/tests/fake_upstream.py
@@ -10,8 +10,8 @@
 from baobabgap.dispatch import EndRow
 from baobabgap.dispatch import RunOrder
 from baobabgap.upstreams import HeldRun
-from baobabgap.upstreams import Holding
 from baobabgap.upstreams import StartOutcome
+from baobabgap.upstreams import UpstreamReport
 from baobabgap.upstreams import UpstreamSuperseded
 
 LONGEST_LEASE_MS = 1000
@@ -119,7 +119,7 @@
         noted: int,
         lease_until_ms: int,
         wait_ms: int,
-    ) -> Holding | None:
+    ) -> UpstreamReport | None:
         self.last_wait_ms = wait_ms
         if self.is_silent:
             return None
@@ -134,7 +134,7 @@
             while not self._ended and time.monotonic() < give_up_at:
                 self._lock.wait(0.005)
                 self._advance()
-            return Holding(
+            return UpstreamReport(
                 self.clock_ms,
                 self.born_ms,
                 tuple(
--- a/baobabgap/upstreams/__init__.py
+++ b/baobabgap/upstreams/__init__.py
@@ -1,15 +1,15 @@
 """Runs tasks on one upstream: start and stop calls, leases and results."""
 
 from baobabgap.upstreams._client import HeldRun
-from baobabgap.upstreams._client import Holding
 from baobabgap.upstreams._client import StartOutcome
 from baobabgap.upstreams._client import UpstreamClient
+from baobabgap.upstreams._client import UpstreamReport
 from baobabgap.upstreams._client import UpstreamSuperseded
 from baobabgap.upstreams._run_agent import RunAgent
 
 __all__ = [
     'HeldRun',
-    'Holding',
+    'UpstreamReport',
     'RunAgent',
     'StartOutcome',
     'UpstreamClient',
--- a/baobabgap/upstreams/_client.py
+++ b/baobabgap/upstreams/_client.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holding:
+class UpstreamReport:
     """The answer of an upstream to a poll."""
 
     # The upstream's clock at the time of its answer, milliseconds.
@@ -86,7 +86,7 @@
         acknowledged_number: int,
         lease_until_ms: int,
         wait_ms: int,
-    ) -> Holding | None:
+    ) -> UpstreamReport | None:
         """Renew the lease of all runs, and list running and ended ones.
 
         The upstream may forget ended runs up to number
--- a/baobabgap/upstreams/_run_agent.py
+++ b/baobabgap/upstreams/_run_agent.py
@@ -31,9 +31,9 @@
 from baobabgap.telemetry import log_event
 from baobabgap.telemetry import Metrics
 from baobabgap.transport import Connection
-from baobabgap.upstreams._client import Holding
 from baobabgap.upstreams._client import StartOutcome
 from baobabgap.upstreams._client import UpstreamClient
+from baobabgap.upstreams._client import UpstreamReport
 from baobabgap.upstreams._client import UpstreamSuperseded
 from baobabgap.upstreams._clock import LeaseClock
 from baobabgap.upstreams._run_table import RunTable
@@ -461,7 +461,7 @@
         self,
         upstream: UpstreamState | None,
         fence: int,
-        report: Holding,
+        report: UpstreamReport,
         sent_at: float,
     ) -> None:
         with self._lock:
--- a/baobabgap/upstreams/_run_table.py
+++ b/baobabgap/upstreams/_run_table.py
@@ -6,7 +6,7 @@
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch import RunRow
 from baobabgap.upstreams._client import HeldRun
-from baobabgap.upstreams._client import Holding
+from baobabgap.upstreams._client import UpstreamReport
 
 
 @dataclass(slots=True)
@@ -59,7 +59,7 @@
             del self.run_by_task[task]
 
     def apply_report(
-        self, report: Holding, sent_at: float
+        self, report: UpstreamReport, sent_at: float
     ) -> tuple[list[RunRow], list[RunRow]]:
         """Reconcile with the report to a poll sent at `sent_at`.
 
--- a/baobabgap/upstreams/tests/test_run_table.py
+++ b/baobabgap/upstreams/tests/test_run_table.py
@@ -11,7 +11,7 @@
 from baobabgap.dispatch import EndRow
 from baobabgap.dispatch import RunRow
 from baobabgap.upstreams import HeldRun
-from baobabgap.upstreams import Holding
+from baobabgap.upstreams import UpstreamReport
 from baobabgap.upstreams._clock import LeaseClock
 from baobabgap.upstreams._run_table import RunTable
 from baobabgap.upstreams._run_table import TrackedRun
@@ -20,8 +20,10 @@
 OTHER = TaskId('b', 0, 0)
 
 
-def report(*running: HeldRun, ended: tuple[EndRow, ...] = ()) -> Holding:
-    return Holding(1000, 1, running, ended)
+def report(
+    *running: HeldRun, ended: tuple[EndRow, ...] = ()
+) -> UpstreamReport:
+    return UpstreamReport(1000, 1, running, ended)
 
 
 class RunTableTest(unittest.TestCase):
--- a/tools/job_history/_recorded_upstream.py
+++ b/tools/job_history/_recorded_upstream.py
@@ -10,8 +10,8 @@
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch import RunOrder
 from baobabgap.dispatch.tests.fake_upstream import FakeUpstream
-from baobabgap.upstreams import Holding
 from baobabgap.upstreams import StartOutcome
+from baobabgap.upstreams import UpstreamReport
 from tools.job_history._moments import Moment
 from tools.job_history._moments import Moments
 
@@ -83,7 +83,7 @@
         noted: int,
         lease_until_ms: int,
         wait_ms: int,
-    ) -> Holding | None:
+    ) -> UpstreamReport | None:
         holding = super().hold(instance, fence, noted, lease_until_ms, wait_ms)
         if holding is not None:
             now = time.monotonic()
