--- a/baobabgap/dispatch/tests/fake_upstream.py
+++ b/baobabgap/dispatch/tests/fake_upstream.py
@@ -9,7 +9,7 @@
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch import EndRow
 from baobabgap.dispatch import RunOrder
-from baobabgap.upstreams import HeldRun
+from baobabgap.upstreams import ActiveRun
 from baobabgap.upstreams import StartOutcome
 from baobabgap.upstreams import UpstreamReport
 from baobabgap.upstreams import UpstreamSuperseded
@@ -138,7 +138,7 @@
                 self.clock_ms,
                 self.born_ms,
                 tuple(
-                    HeldRun(task, run.run)
+                    ActiveRun(task, run.run)
                     for task, run in self._running.items()
                 ),
                 tuple(self._ended),
--- a/baobabgap/upstreams/__init__.py
+++ b/baobabgap/upstreams/__init__.py
@@ -1,6 +1,6 @@
 """Runs tasks on one upstream: start and stop calls, leases and results."""
 
-from baobabgap.upstreams._client import HeldRun
+from baobabgap.upstreams._client import ActiveRun
 from baobabgap.upstreams._client import StartOutcome
 from baobabgap.upstreams._client import UpstreamClient
 from baobabgap.upstreams._client import UpstreamReport
@@ -8,7 +8,7 @@
 from baobabgap.upstreams._run_agent import RunAgent
 
 __all__ = [
-    'HeldRun',
+    'ActiveRun',
     'UpstreamReport',
     'RunAgent',
     'StartOutcome',
--- a/baobabgap/upstreams/_client.py
+++ b/baobabgap/upstreams/_client.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldRun:
+class ActiveRun:
     """A run that the upstream reports as running."""
 
     task: TaskId
@@ -48,7 +48,7 @@
     # Start of this incarnation of the upstream, milliseconds since 1970; 0
     # if the answer lacks it.
     born_ms: int
-    running: tuple[HeldRun, ...]
+    running: tuple[ActiveRun, ...]
     # Ended runs that have not been acknowledged, oldest first.
     ended: tuple[EndRow, ...]
 
--- a/baobabgap/upstreams/_run_table.py
+++ b/baobabgap/upstreams/_run_table.py
@@ -5,7 +5,7 @@
 from baobabgap.accepted import Demand
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch import RunRow
-from baobabgap.upstreams._client import HeldRun
+from baobabgap.upstreams._client import ActiveRun
 from baobabgap.upstreams._client import UpstreamReport
 
 
@@ -101,7 +101,7 @@
             and run.stop_sent_at <= sent_before
         ]
 
-    def _confirm(self, listed: HeldRun) -> bool:
+    def _confirm(self, listed: ActiveRun) -> bool:
         """Mark a known run as confirmed; return False for an unknown one."""
         tracked = self.run_by_task.get(listed.task)
         if tracked is None or tracked.run < listed.run:
@@ -110,7 +110,7 @@
             tracked.is_confirmed = True
         return True
 
-    def _add_unknown(self, listed: HeldRun) -> RunRow:
+    def _add_unknown(self, listed: ActiveRun) -> RunRow:
         run = TrackedRun(
             listed.task, listed.run, is_confirmed=True, is_in_flight=False
         )
--- a/baobabgap/upstreams/tests/test_run_table.py
+++ b/baobabgap/upstreams/tests/test_run_table.py
@@ -10,7 +10,7 @@
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch import EndRow
 from baobabgap.dispatch import RunRow
-from baobabgap.upstreams import HeldRun
+from baobabgap.upstreams import ActiveRun
 from baobabgap.upstreams import UpstreamReport
 from baobabgap.upstreams._clock import LeaseClock
 from baobabgap.upstreams._run_table import RunTable
@@ -21,7 +21,7 @@
 
 
 def report(
-    *running: HeldRun, ended: tuple[EndRow, ...] = ()
+    *running: ActiveRun, ended: tuple[EndRow, ...] = ()
 ) -> UpstreamReport:
     return UpstreamReport(1000, 1, running, ended)
 
@@ -33,7 +33,9 @@
         self.table.run_by_task[TASK] = self.tracked
 
     def test_listed_run_is_confirmed(self) -> None:
-        unknown, gone = self.table.apply_report(report(HeldRun(TASK, 2)), 1.0)
+        unknown, gone = self.table.apply_report(
+            report(ActiveRun(TASK, 2)), 1.0
+        )
         self.assertEqual(([], []), (unknown, gone))
         self.assertTrue(self.tracked.is_confirmed)
 
@@ -48,7 +50,7 @@
         self.tracked.stopped_at = 5.0
         _, gone = self.table.apply_report(report(), 4.9)
         self.assertEqual([], gone)
-        _, gone = self.table.apply_report(report(HeldRun(TASK, 2)), 5.1)
+        _, gone = self.table.apply_report(report(ActiveRun(TASK, 2)), 5.1)
         self.assertEqual([], gone)
         _, gone = self.table.apply_report(report(), 5.2)
         self.assertEqual([RunRow(TASK, 2, True)], gone)
@@ -64,7 +66,7 @@
         self.assertEqual((), self.table.rows())
 
     def test_run_without_an_order_is_reported(self) -> None:
-        unknown, _ = self.table.apply_report(report(HeldRun(OTHER, 1)), 1.0)
+        unknown, _ = self.table.apply_report(report(ActiveRun(OTHER, 1)), 1.0)
         self.assertEqual([RunRow(OTHER, 1, True)], unknown)
 
     def test_stop_waits_for_start_and_is_repeated(self) -> None:
