--- a/baobabgap/dispatch/tests/fake_upstream.py
+++ b/baobabgap/dispatch/tests/fake_upstream.py
@@ -112,7 +112,7 @@
             self._highest_ended[task] = max(highest, run)
             return True
 
-    def hold(
+    def poll(
         self,
         instance: str,
         fence: int,
--- a/baobabgap/upstreams/_client.py
+++ b/baobabgap/upstreams/_client.py
@@ -79,7 +79,7 @@
         Returns whether the upstream with this identity answered.
         """
 
-    def hold(
+    def poll(
         self,
         instance: str,
         fence: int,
--- a/baobabgap/upstreams/_run_agent.py
+++ b/baobabgap/upstreams/_run_agent.py
@@ -437,7 +437,7 @@
                 else self._poll_wait_ms()
             )
             try:
-                report = self._client.hold(
+                report = self._client.poll(
                     upstream.instance if upstream else '',
                     fence,
                     acknowledged_number,
--- a/tools/job_history/_recorded_upstream.py
+++ b/tools/job_history/_recorded_upstream.py
@@ -76,7 +76,7 @@
                 self._open[order.task] = record
             return outcome
 
-    def hold(
+    def poll(
         self,
         instance: str,
         fence: int,
@@ -84,7 +84,7 @@
         lease_until_ms: int,
         wait_ms: int,
     ) -> UpstreamReport | None:
-        holding = super().hold(instance, fence, noted, lease_until_ms, wait_ms)
+        holding = super().poll(instance, fence, noted, lease_until_ms, wait_ms)
         if holding is not None:
             now = time.monotonic()
             with self._lock:
