--- a/baobabgap/dispatch/tests/test_dispatch.py
+++ b/baobabgap/dispatch/tests/test_dispatch.py
@@ -131,7 +131,7 @@
 
     def test_drained_upstream_gets_nothing_new(self) -> None:
         deployment = self.deployment
-        deployment.agents[0].leave()
+        deployment.agents[0].drain()
         wait_until(lambda: deployment.agents[0].is_idle, 'an idle agent')
         for number in range(5):
             deployment.submit(f'j{number}', step(1), volatile=True).result(
--- a/baobabgap/upstreams/_run_agent.py
+++ b/baobabgap/upstreams/_run_agent.py
@@ -128,7 +128,7 @@
         for _ in range(_CALLER_THREADS):
             self._pool.submit(self._run_with_restarts, self._send_calls)
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Refuse new runs from now on, before a planned stop."""
         with self._lock:
             self._is_draining = True
