--- a/baobabgap/upstreams/__init__.py
+++ b/baobabgap/upstreams/__init__.py
@@ -9,9 +9,9 @@
 
 __all__ = [
     'ActiveRun',
-    'UpstreamReport',
     'RunAgent',
     'StartOutcome',
     'UpstreamClient',
+    'UpstreamReport',
     'UpstreamSuperseded',
 ]
