--- a/baobabgap/upstreams/_run_agent.py
+++ b/baobabgap/upstreams/_run_agent.py
@@ -54,8 +54,8 @@
 # Seconds between two polls while ended runs wait for acknowledgement, as the
 # upstream then answers at once, or while no lease can be renewed.
 _POLL_PAUSE_S: Final = 0.012
-# Seconds between polls that the upstream doesn't answer or rejects, and
-# between checks for a first leader.
+# Seconds between polls while the upstream is unreachable or rejects the fence,
+# and between checks for a first leader.
 _POLL_RETRY_PAUSE_S: Final = 0.1
 # Consecutive unanswered polls after which the upstream is unreachable.
 _UNREACHABLE_AFTER_POLLS: Final = 3
