--- a/baobabgap/dispatch/tests/fake_upstream.py
+++ b/baobabgap/dispatch/tests/fake_upstream.py
@@ -9,9 +9,9 @@
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch import EndRow
 from baobabgap.dispatch import RunOrder
-from baobabgap.upstreams import HeldRun
-from baobabgap.upstreams import Holding
+from baobabgap.upstreams import ActiveRun
 from baobabgap.upstreams import StartOutcome
+from baobabgap.upstreams import UpstreamReport
 from baobabgap.upstreams import UpstreamSuperseded
 
 LONGEST_LEASE_MS = 1000
@@ -112,14 +112,14 @@
             self._highest_ended[task] = max(highest, run)
             return True
 
-    def hold(
+    def poll(
         self,
         instance: str,
         fence: int,
         noted: int,
         lease_until_ms: int,
         wait_ms: int,
-    ) -> Holding | None:
+    ) -> UpstreamReport | None:
         self.last_wait_ms = wait_ms
         if self.is_silent:
             return None
@@ -134,11 +134,11 @@
             while not self._ended and time.monotonic() < give_up_at:
                 self._lock.wait(0.005)
                 self._advance()
-            return Holding(
+            return UpstreamReport(
                 self.clock_ms,
                 self.born_ms,
                 tuple(
-                    HeldRun(task, run.run)
+                    ActiveRun(task, run.run)
                     for task, run in self._running.items()
                 ),
                 tuple(self._ended),
--- a/baobabgap/upstreams/__init__.py
+++ b/baobabgap/upstreams/__init__.py
@@ -1,17 +1,17 @@
-"""Looking after one upstream: runs, leases and their ends."""
+"""Runs tasks on one upstream: start and stop calls, leases and results."""
 
-from baobabgap.upstreams._client import HeldRun
-from baobabgap.upstreams._client import Holding
+from baobabgap.upstreams._client import ActiveRun
 from baobabgap.upstreams._client import StartOutcome
 from baobabgap.upstreams._client import UpstreamClient
+from baobabgap.upstreams._client import UpstreamReport
 from baobabgap.upstreams._client import UpstreamSuperseded
 from baobabgap.upstreams._run_agent import RunAgent
 
 __all__ = [
-    'HeldRun',
-    'Holding',
+    'ActiveRun',
     'RunAgent',
     'StartOutcome',
     'UpstreamClient',
+    'UpstreamReport',
     'UpstreamSuperseded',
 ]
