--- a/baobabgap/dispatch/__init__.py
+++ b/baobabgap/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Dispatch of durably accepted jobs by the leader of the control group."""
+"""Dispatch of accepted jobs by the leader of the control group."""
 
 from baobabgap.dispatch._control_node import ControlNode
 from baobabgap.dispatch._control_node import ControlNodeOptions
--- a/baobabgap/dispatch/_agent_desk.py
+++ b/baobabgap/dispatch/_agent_handler.py
@@ -1,4 +1,4 @@
-"""Agents and their upstreams: links, reports, authority, ends of runs."""
+"""Handling of agents: links, reports, authority and ends of runs."""
 
 import time
 from typing import Final
@@ -12,12 +12,11 @@
 from baobabgap.accepted import TaskEnd
 from baobabgap.dispatch._agent_view import AgentView
 from baobabgap.dispatch._agent_view import Run
-from baobabgap.dispatch._books import Books
-from baobabgap.dispatch._closing import JobCloser
 from baobabgap.dispatch._committer import Committer
 from baobabgap.dispatch._committer import ignore_result
 from baobabgap.dispatch._events import MembersEnrolled
-from baobabgap.dispatch._events import Tell
+from baobabgap.dispatch._events import PostEvent
+from baobabgap.dispatch._job_closer import JobCloser
 from baobabgap.dispatch._messages import Authority
 from baobabgap.dispatch._messages import AuthorityRequest
 from baobabgap.dispatch._messages import EndRow
@@ -31,8 +30,9 @@
 from baobabgap.dispatch._messages import UpstreamQuiet
 from baobabgap.dispatch._messages import UpstreamState
 from baobabgap.dispatch._roles import AGENT_ROLE
-from baobabgap.dispatch._run_book import RunBook
-from baobabgap.dispatch._run_book import task_text
+from baobabgap.dispatch._run_tracker import RunTracker
+from baobabgap.dispatch._run_tracker import task_text
+from baobabgap.dispatch._term_state import TermState
 from baobabgap.dispatch._timing import boot_time
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.scheduling import JobPlan
@@ -41,92 +41,92 @@
 from baobabgap.telemetry import log_event
 from baobabgap.transport import Connection
 
-# Reasons for which an upstream or its agent has refused a start.
+# Reasons with which an upstream or its agent refuses a start.
 _REFUSALS: Final = ('room', 'unhealthy', 'late', 'no authority', 'not sent')
 
 
-class AgentDesk:
-    """Takes what agents report, as the leader."""
+class AgentHandler:
+    """Handles links and messages of agents, as the leader."""
 
     def __init__(
         self,
-        books: Books,
-        runs: RunBook,
+        term_state: TermState,
+        runs: RunTracker,
         closer: JobCloser,
         state: AcceptedState,
         committer: Committer,
         timing: LeaseTiming,
-        tell: Tell,
+        post_event: PostEvent,
     ) -> None:
-        self._books: Final = books
+        self._term_state: Final = term_state
         self._runs: Final = runs
         self._closer: Final = closer
         self._state: Final = state
         self._committer: Final = committer
         self._timing: Final = timing
-        self._tell: Final = tell
+        self._post_event: Final = post_event
 
-    def take_link(self, connection: Connection) -> None:
-        """An agent has a new link; its full report follows."""
+    def handle_link(self, connection: Connection) -> None:
+        """Process a new link of an agent; its full report follows."""
         name = connection.peer.name
-        view = self._books.view_by_name.get(name)
+        view = self._term_state.view_by_name.get(name)
         if view is None:
-            view = self._books.view_by_name[name] = AgentView(name)
+            view = self._term_state.view_by_name[name] = AgentView(name)
         view.connection = connection
         view.has_reported = False
         self._enrol(view)
 
-    def take_lost_link(self, connection: Connection) -> None:
-        """A link has ended; the upstream's lease goes on for a while."""
-        view = self._books.view_by_name.get(connection.peer.name)
+    def handle_lost_link(self, connection: Connection) -> None:
+        """Process a lost link; the upstream's lease continues for a while."""
+        view = self._term_state.view_by_name.get(connection.peer.name)
         if view is None or view.connection is not connection:
             return
         log_event('agent_lost', agent=view.name, runs=len(view.run_by_task))
         view.connection = None
         view.has_reported = False
 
-    def take_enrolled(self, event: MembersEnrolled) -> None:
-        """An agent is durably known, and may get runs."""
-        view = self._books.view_by_name.get(event.name)
-        if event.term == self._books.term and view is not None:
+    def handle_enrolled(self, event: MembersEnrolled) -> None:
+        """Process a durable enrolment; the agent may be sent runs."""
+        view = self._term_state.view_by_name.get(event.name)
+        if event.term == self._term_state.term and view is not None:
             view.is_enrolled = True
             view.is_enrolling = False
 
-    def take(
+    def handle(
         self, connection: Connection, message: object, is_confirmed: bool
     ) -> None:
-        """Take one message of an agent."""
-        view = self._books.view_by_name.get(connection.peer.name)
+        """Process one message of an agent."""
+        view = self._term_state.view_by_name.get(connection.peer.name)
         if view is None or view.connection is not connection:
             return
         match message:
             case FullReport():
-                self._take_full_report(view, message)
+                self._handle_full_report(view, message)
             case AuthorityRequest():
                 if is_confirmed and view.is_enrolled:
-                    self._grant(view, connection, message)
+                    self._grant_authority(view, connection, message)
             case UpstreamQuiet(fence=fence):
-                if fence == self._books.term:
-                    self._books.takeover.hear_agent(view.name)
+                if fence == self._term_state.term:
+                    self._term_state.takeover.note_agent_report(view.name)
             case UpstreamChanged(upstream=upstream):
                 self._change_upstream(view, upstream)
             case RunsEnded() | RunsGone() | RunsFound():
-                if view.is_life(message.instance, message.born_ms):
-                    self._take_of_runs(view, message)
+                if view.is_current_instance(message.instance, message.born_ms):
+                    self._handle_run_message(view, message)
 
-    def _take_of_runs(
+    def _handle_run_message(
         self, view: AgentView, message: RunsEnded | RunsGone | RunsFound
     ) -> None:
         match message:
             case RunsEnded(ended=ended):
-                self._take_ends(view, ended)
+                self._handle_ends(view, ended)
             case RunsGone():
-                self._take_gone(view, message)
+                self._handle_gone_runs(view, message)
             case RunsFound(runs=rows):
                 self._adopt(view, rows)
 
     def dismiss(self, view: AgentView) -> None:
-        """Forget durably an agent that certainly holds no run."""
+        """Durably remove an agent that certainly has no run."""
         if view.is_enrolled and not view.run_by_task:
             view.is_enrolled = False
             log_event('agent_dismissed', agent=view.name)
@@ -135,42 +135,42 @@
             )
 
     def _enrol(self, view: AgentView) -> None:
-        """Have an agent durably known before it gets runs."""
+        """Enrol an agent durably, which is required before it gets runs."""
         if view.is_enrolled or view.is_enrolling:
             return
         view.is_enrolling = True
-        name, term = view.name, self._books.term
+        name, term = view.name, self._term_state.term
         self._committer.propose(
             EnrolMembers((f'{AGENT_ROLE}/{name}',)),
-            lambda result: self._tell(MembersEnrolled(term, name)),
+            lambda result: self._post_event(MembersEnrolled(term, name)),
         )
 
-    def _grant(
+    def _grant_authority(
         self,
         view: AgentView,
         connection: Connection,
         request: AuthorityRequest,
     ) -> None:
-        """Let an agent renew leases: this host surely still leads."""
+        """Grant an agent authority to renew leases, as confirmed leader."""
         view.authority_granted_at = boot_time()
         until_ms = request.clock_ms + int(1000 * self._timing.authority_s)
         connection.send(
-            Authority(self._books.term, request.instance, until_ms)
+            Authority(self._term_state.term, request.instance, until_ms)
         )
 
-    def _take_full_report(self, view: AgentView, report: FullReport) -> None:
-        if report.fence != self._books.term:
+    def _handle_full_report(self, view: AgentView, report: FullReport) -> None:
+        if report.fence != self._term_state.term:
             return
         self._change_upstream(view, report.upstream)
         if report.upstream is None:
             return
         self._enrol(view)
         view.has_reported = True
-        self._books.takeover.hear_agent(view.name)
-        self._take_ends(view, report.ended)
-        held = {row.task for row in report.running}
+        self._term_state.takeover.note_agent_report(view.name)
+        self._handle_ends(view, report.ended)
+        reported = {row.task for row in report.running}
         for task_id in list(view.run_by_task):
-            if task_id not in held:
+            if task_id not in reported:
                 self._runs.drop(view, task_id, 'not reported')
         self._adopt(view, report.running)
         self._runs.repeat_stops(view)
@@ -185,12 +185,12 @@
     def _change_upstream(
         self, view: AgentView, upstream: UpstreamState | None
     ) -> None:
-        held = view.upstream
-        is_same = upstream is not None and view.is_life(
+        previous = view.upstream
+        is_same = upstream is not None and view.is_current_instance(
             upstream.instance, upstream.born_ms
         )
         if not is_same:
-            if held is not None:
+            if previous is not None:
                 self._runs.drop_all(view, 'upstream is gone')
             view.last_end_number = 0
             view.room = None
@@ -201,7 +201,7 @@
         if view.room is None:
             view.room = _room_of(view, upstream)
         view.room.is_open = upstream.is_reachable and not upstream.is_draining
-        if held != upstream:
+        if previous != upstream:
             log_event(
                 'upstream_changed',
                 agent=view.name,
@@ -213,31 +213,31 @@
             )
 
     def _adopt(self, view: AgentView, rows: tuple[RunRow, ...]) -> None:
-        """Follow runs that the upstream has; stop what nobody wants."""
+        """Track runs found on the upstream; stop those that are not needed."""
         for row in rows:
             known = view.run_by_task.get(row.task)
             if known is not None and known.number >= row.run:
                 continue
-            found = self._books.find(row.task)
+            found = self._term_state.find(row.task)
             if found is not None and not found[1].upstream:
                 self._runs.add(view, *found, row.run, was_found=True)
                 continue
             self._runs.add_unwanted(view, row)
-            if self._may_be_handed_in(row.task.job_id):
+            if self._may_be_submitted(row.task.job_id):
                 now = time.monotonic()
-                self._books.orphans.add_run(view.name, row, now)
+                self._term_state.orphans.add_run(view.name, row, now)
             else:
                 self._runs.stop(view, row.task)
 
-    def _may_be_handed_in(self, job_id: str) -> bool:
-        """Tell whether a job may yet be handed in to this leader."""
+    def _may_be_submitted(self, job_id: str) -> bool:
+        """Return whether a job may still be submitted to this leader."""
         return (
-            job_id not in self._books.plan_by_id
-            and job_id not in self._books.ended_by_id
+            job_id not in self._term_state.plan_by_id
+            and job_id not in self._term_state.ended_by_id
             and self._state.state_of(job_id) is None
         )
 
-    def _take_gone(self, view: AgentView, message: RunsGone) -> None:
+    def _handle_gone_runs(self, view: AgentView, message: RunsGone) -> None:
         if message.reason in _REFUSALS and view.room is not None:
             view.room.health.note_refused(time.monotonic())
         for row in message.runs:
@@ -245,13 +245,13 @@
             if run is not None and run.number == row.run:
                 self._runs.drop(view, row.task, message.reason)
 
-    def _take_ends(self, view: AgentView, rows: tuple[EndRow, ...]) -> None:
+    def _handle_ends(self, view: AgentView, rows: tuple[EndRow, ...]) -> None:
         upstream = view.upstream
         assert upstream is not None
         for row in rows:
             if row.number > view.last_end_number:
                 view.last_end_number = row.number
-                self._take_end(view, row)
+                self._handle_end(view, row)
         if rows:
             self._closer.add_noted(
                 view.name,
@@ -260,19 +260,19 @@
                 ),
             )
 
-    def _take_end(self, view: AgentView, row: EndRow) -> None:
+    def _handle_end(self, view: AgentView, row: EndRow) -> None:
         run = view.run_by_task.get(row.task)
         if run is not None and run.number != row.run:
             run = None
         self._store_end(row)
         if run is not None:
-            self._judge(view, row, run)
+            self._record_outcome(view, row, run)
             self._runs.remove(view, row.task)
-        found = self._books.find(row.task)
+        found = self._term_state.find(row.task)
         if found is not None:
-            self._settle(view, row, *found, is_current=run is not None)
-        elif self._may_be_handed_in(row.task.job_id):
-            self._books.orphans.add_end(row, time.monotonic())
+            self._apply_end(view, row, *found, is_current=run is not None)
+        elif self._may_be_submitted(row.task.job_id):
+            self._term_state.orphans.add_end(row, time.monotonic())
 
     def _store_end(self, row: EndRow) -> None:
         if row.end is RunEnd.INTERRUPTED:
@@ -280,7 +280,7 @@
         if self._state.state_of(row.task.job_id) is not None:
             self._closer.add_end(TaskEnd(row.task, row.run, row.end))
 
-    def _settle(
+    def _apply_end(
         self,
         view: AgentView,
         row: EndRow,
@@ -289,34 +289,34 @@
         *,
         is_current: bool,
     ) -> None:
-        """Bring a task forward by the end of one of its runs."""
+        """Update a task with the end of one of its runs."""
         task.last_run = max(task.last_run, row.run)
         match row.end:
             case RunEnd.DONE:
-                self._settle_done(plan, task, is_current)
+                self._apply_done(plan, task, is_current)
             case RunEnd.FAILED:
                 task.failed_runs.add(row.run)
                 task.avoided.add(view.name)
-                self._settle_failed(plan, task, is_current)
+                self._apply_failed(plan, task, is_current)
             case RunEnd.INTERRUPTED:
                 if is_current:
                     plan.note_gone(task)
 
-    def _settle_done(
+    def _apply_done(
         self, plan: JobPlan, task: PlannedTask, is_current: bool
     ) -> None:
         if task.upstream and not is_current:
-            # A later run of the same task is under way elsewhere.
-            other = self._books.view_by_name[task.upstream]
+            # A later run of the same task is in progress elsewhere.
+            other = self._term_state.view_by_name[task.upstream]
             self._runs.stop(other, task.task)
         plan.note_done(task.task)
         if plan.is_done and plan.job.is_volatile:
             self._closer.close(JobEnd(plan.job.job_id, JobState.COMPLETED))
 
-    def _settle_failed(
+    def _apply_failed(
         self, plan: JobPlan, task: PlannedTask, is_current: bool
     ) -> None:
-        """Let a failed task wait again, unless its job fails by it."""
+        """Queue a failed task again unless its job fails."""
         if len(task.failed_runs) < plan.job.attempts:
             if is_current:
                 plan.note_gone(task)
@@ -325,8 +325,8 @@
                 task.upstream = ''
             self._closer.close(JobEnd(plan.job.job_id, JobState.FAILED))
 
-    def _judge(self, view: AgentView, row: EndRow, run: Run) -> None:
-        """Learn from an end about the upstream and the queue."""
+    def _record_outcome(self, view: AgentView, row: EndRow, run: Run) -> None:
+        """Update the upstream's health and the run times from an end."""
         room = view.room
         if room is None:
             return
@@ -334,7 +334,7 @@
         run_s = now - run.started_at
         match row.end:
             case RunEnd.DONE:
-                self._learn(room, row, run, run_s)
+                self._record_run_time(room, row, run, run_s)
             case RunEnd.FAILED:
                 is_suspended = room.health.note_failed(now)
                 log_event(
@@ -348,17 +348,19 @@
                     suspended=is_suspended,
                 )
 
-    def _learn(self, room: Room, row: EndRow, run: Run, run_s: float) -> None:
+    def _record_run_time(
+        self, room: Room, row: EndRow, run: Run, run_s: float
+    ) -> None:
         if run.was_found:
-            # How long it has run in all isn't known.
+            # Its total run time is unknown.
             room.health.note_done(run.expected_s, run.expected_s)
             return
         room.health.note_done(run_s, run.expected_s * room.kind_slowness)
-        plan = self._books.plan_by_id.get(row.task.job_id)
+        plan = self._term_state.plan_by_id.get(row.task.job_id)
         if plan is not None:
             step = plan.job.steps[row.task.step]
             plan.note_run_time(row.task.step, run_s)
-            self._books.run_times.observe(
+            self._term_state.run_times.observe(
                 plan.job.queue, room.kind, step.estimate_ms, run_s
             )
 
--- a/baobabgap/dispatch/_agent_view.py
+++ b/baobabgap/dispatch/_agent_view.py
@@ -1,4 +1,4 @@
-"""One agent and its upstream, as the leader sees them."""
+"""The leader's view of an agent and its upstream."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -18,11 +18,11 @@
     task: TaskId
     number: int
     demand: Demand
-    # When it was ordered or found, and how long it should take, seconds.
+    # When it was ordered or found, and its expected duration, seconds.
     started_at: float
     expected_s: float
-    # Whether it was found rather than ordered: it began at some earlier
-    # time, so that nothing is learned from how long it takes.
+    # Whether it was found rather than ordered. Its start time is unknown
+    # then, so that its duration is not recorded.
     was_found: bool = False
     # Whether a stop was ordered.
     is_stopping: bool = False
@@ -32,28 +32,28 @@
 class AgentView:
     """An agent, its link, its upstream and the runs there.
 
-    The runs stay when the link is lost: they go on until the upstream's
-    lease has certainly lapsed.
+    The runs are kept when the link is lost, as they continue until the
+    upstream's lease has certainly lapsed.
     """
 
     name: str
     connection: Connection | None = None
-    # Whether the full report of the present link has come.
+    # Whether the full report has arrived on the current link.
     has_reported: bool = False
-    # Whether the agent is durably known, so that it may get runs.
+    # Whether the enrolment is durable, which is required for runs.
     is_enrolled: bool = False
     is_enrolling: bool = False
     upstream: UpstreamState | None = None
     room: Room | None = None
     run_by_task: dict[TaskId, Run] = field(default_factory=dict)
-    # The highest number of an end taken, in the upstream's present life.
+    # The highest end number processed for the upstream's current instance.
     last_end_number: int = 0
-    # When the last authority was granted or may have been, in seconds on
-    # a clock that goes on while the host is suspended.
+    # When authority was last granted, or may have been, in seconds on a
+    # clock that includes time in suspend.
     authority_granted_at: float = float('-inf')
 
     def may_start(self, authority_s: float) -> bool:
-        """Tell whether runs may be ordered.
+        """Return whether starts may be ordered.
 
         The agent must have been granted authority within `authority_s`.
         """
@@ -65,8 +65,8 @@
             and boot_time() - self.authority_granted_at < authority_s
         )
 
-    def is_life(self, instance: str, born_ms: int) -> bool:
-        """Tell whether a message is about the upstream's present life."""
+    def is_current_instance(self, instance: str, born_ms: int) -> bool:
+        """Return whether a message concerns the current instance."""
         upstream = self.upstream
         return (
             upstream is not None
--- a/baobabgap/dispatch/_call_desk.py
+++ b/baobabgap/dispatch/_call_handler.py
@@ -1,4 +1,4 @@
-"""Calls of clients: submit, read, count, cancel."""
+"""Handling of client calls: submit, read, count, cancel."""
 
 import math
 import time
@@ -10,21 +10,21 @@
 from baobabgap.accepted import CancelAccepted
 from baobabgap.accepted import JobEnd
 from baobabgap.accepted import JobState
-from baobabgap.dispatch._books import Books
-from baobabgap.dispatch._closing import JobCloser
 from baobabgap.dispatch._committer import Committer
 from baobabgap.dispatch._events import CallArrived
 from baobabgap.dispatch._events import CallDropped
 from baobabgap.dispatch._events import CancelStored
 from baobabgap.dispatch._events import JobsStored
-from baobabgap.dispatch._events import Tell
+from baobabgap.dispatch._events import PostEvent
+from baobabgap.dispatch._job_closer import JobCloser
 from baobabgap.dispatch._messages import CallOutcome
 from baobabgap.dispatch._messages import CancelPath
 from baobabgap.dispatch._messages import ReadPath
 from baobabgap.dispatch._messages import SubmitJob
 from baobabgap.dispatch._replies import answer
 from baobabgap.dispatch._replies import answer_unavailable
-from baobabgap.dispatch._run_book import RunBook
+from baobabgap.dispatch._run_tracker import RunTracker
+from baobabgap.dispatch._term_state import TermState
 from baobabgap.queues import QueueMatch
 from baobabgap.scheduling import admit
 from baobabgap.scheduling import JobPlan
@@ -34,31 +34,32 @@
 from baobabgap.telemetry import Metrics
 
 
-class CallDesk:
-    """Answers calls, as the confirmed leader."""
+class CallHandler:
+    """Answers client calls; used by the confirmed leader."""
 
     def __init__(
         self,
-        books: Books,
-        runs: RunBook,
+        term_state: TermState,
+        runs: RunTracker,
         closer: JobCloser,
         state: AcceptedState,
         committer: Committer,
-        tell: Tell,
+        post_event: PostEvent,
         metrics: Metrics,
     ) -> None:
-        self._books: Final = books
+        self._term_state: Final = term_state
         self._runs: Final = runs
         self._closer: Final = closer
-        # Read here by single look-ups only, which don't interleave.
+        # Only read by single look-ups, which are safe against concurrent
+        # updates.
         self._state: Final = state
         self._committer: Final = committer
-        self._tell: Final = tell
+        self._post_event: Final = post_event
         self._metrics: Final = metrics
 
-    def take(self, arrived: CallArrived) -> None:
-        """Answer a call, now or later."""
-        table = self._books.table
+    def handle(self, arrived: CallArrived) -> None:
+        """Answer a call, at once or when its result is known."""
+        table = self._term_state.queue_table
         if table is None:
             answer_unavailable(arrived, 'no configuration yet')
             return
@@ -75,41 +76,41 @@
             case CancelPath():
                 self._cancel(arrived, match.rest)
 
-    def take_dropped(self, event: CallDropped) -> None:
-        """Cancel a volatile job that nobody waits for any more."""
-        for job_id, calls in self._books.callers_by_id.items():
-            left = [
+    def handle_dropped_call(self, event: CallDropped) -> None:
+        """Remove a dropped call; cancel its job if no call is left."""
+        for job_id, calls in self._term_state.callers_by_id.items():
+            remaining = [
                 call
                 for call in calls
                 if call.connection is not event.connection
                 or call.call.call != event.call
             ]
-            if len(left) == len(calls):
+            if len(remaining) == len(calls):
                 continue
-            self._books.callers_by_id[job_id] = left
-            if not left:
+            self._term_state.callers_by_id[job_id] = remaining
+            if not remaining:
                 self._closer.close(JobEnd(job_id, JobState.CANCELLED))
             return
 
-    def take_stored_jobs(self, event: JobsStored) -> None:
-        """Jobs are durable, or their outcome is unknown."""
-        if event.term != self._books.term:
+    def handle_stored_jobs(self, event: JobsStored) -> None:
+        """Activate jobs that became durable and answer their callers."""
+        if event.term != self._term_state.term:
             return
         for job_id in event.job_ids:
-            plan, calls = self._books.storing_by_id.pop(job_id)
+            plan, calls = self._term_state.storing_by_id.pop(job_id)
             if event.succeeded:
-                self._begin(plan)
+                self._activate(plan)
             for call in calls:
                 if event.succeeded:
                     answer(call, CallOutcome.ACCEPTED)
                 else:
                     answer(call, CallOutcome.UNKNOWN, detail='not stored')
 
-    def take_stored_cancel(self, event: CancelStored) -> None:
-        """A cancel is durable, or its outcome is unknown."""
-        if event.term != self._books.term:
+    def handle_stored_cancel(self, event: CancelStored) -> None:
+        """Answer the callers of a cancel; close the job if it is durable."""
+        if event.term != self._term_state.term:
             return
-        calls = self._books.cancelling_by_id.pop(event.job_id, [])
+        calls = self._term_state.cancelling_by_id.pop(event.job_id, [])
         state = self._state.state_of(event.job_id)
         is_cancelled = event.succeeded and state is JobState.CANCELLED
         for call in calls:
@@ -122,28 +123,32 @@
         if is_cancelled:
             self._closer.close(JobEnd(event.job_id, JobState.CANCELLED))
 
-    def give_up_worthless(self, now: float) -> None:
-        """Refuse volatile jobs that wait and can't be served in time.
+    def refuse_late_jobs(self, now: float) -> None:
+        """Refuse waiting volatile jobs that can't be served in time.
 
-        None of their tasks has been started, so that is what they are told.
+        None of their tasks has started, as a refusal states.
         """
-        books = self._books
-        for job_id, calls in list(books.callers_by_id.items()):
-            plan = books.plan_by_id[job_id]
+        term_state = self._term_state
+        for job_id, calls in list(term_state.callers_by_id.items()):
+            plan = term_state.plan_by_id[job_id]
             if plan.has_started or plan.may_have_begun:
                 continue
-            if not books.takeover.may_start(plan.job):
+            if not term_state.takeover.may_start(plan.job):
                 continue
             if now <= plan.late_limit(0):
                 continue
-            backlog_core_s = books.backlog(plan.job.service, now).total_core_s
+            backlog_core_s = term_state.backlog(
+                plan.job.service, now
+            ).total_core_s
             retry_after_ms = retry_after(
-                books.rooms_of(plan.job.service),
+                term_state.rooms_of(plan.job.service),
                 backlog_core_s,
-                returning=books.returning_upstreams(plan.job.service, now),
+                returning=term_state.returning_upstreams(
+                    plan.job.service, now
+                ),
             )
-            del books.callers_by_id[job_id]
-            del books.plan_by_id[job_id]
+            del term_state.callers_by_id[job_id]
+            del term_state.plan_by_id[job_id]
             log_event(
                 'job_given_up',
                 job=job_id,
@@ -166,27 +171,28 @@
         self, arrived: CallArrived, call: SubmitJob, match: QueueMatch
     ) -> None:
         job_id = match.rest
-        if self._join(arrived, call, job_id):
+        if self._answer_known_job(arrived, call, job_id):
             return
         job = self._job_from(call, match)
         arrived_at = time.monotonic() - call.waited_ms / 1000
-        plan = JobPlan(job, arrived_at, self._books.run_times)
+        plan = JobPlan(job, arrived_at, self._term_state.run_times)
         if job.is_volatile:
             plan.awaited_until = _awaited_until(call)
-        # Then a refusal, which says that nothing has run, may be untrue.
+        # A refusal states that nothing has run, which may be wrong for a
+        # job that may have begun.
         plan.may_have_begun = call.is_repeat or (
-            self._books.takeover.may_have_begun(job_id)
+            self._term_state.takeover.may_have_begun(job_id)
         )
         if not plan.may_have_begun and not self._admit(arrived, plan):
             return
         if job.is_volatile:
-            self._take_in(plan, arrived)
+            self._accept_volatile(plan, arrived)
             return
-        self._books.storing_by_id[job_id] = (plan, [arrived])
-        term = self._books.term
+        self._term_state.storing_by_id[job_id] = (plan, [arrived])
+        term = self._term_state.term
         self._committer.propose(
             AcceptJobs((job,)),
-            lambda result: self._tell(
+            lambda result: self._post_event(
                 JobsStored(term, (job_id,), result is not None)
             ),
         )
@@ -204,24 +210,24 @@
             call.payload,
             call.steps,
             int(time.time() * 1000),
-            self._books.term,
+            self._term_state.term,
             call.is_volatile,
         )
 
-    def _join(
+    def _answer_known_job(
         self, arrived: CallArrived, call: SubmitJob, job_id: str
     ) -> bool:
-        """Answer for a job that is known already; tell whether it is."""
-        books = self._books
-        if job_id in books.callers_by_id:
-            books.callers_by_id[job_id].append(arrived)
-            plan = books.plan_by_id[job_id]
+        """Answer or queue a call if its job is known; return whether it is."""
+        term_state = self._term_state
+        if job_id in term_state.callers_by_id:
+            term_state.callers_by_id[job_id].append(arrived)
+            plan = term_state.plan_by_id[job_id]
             plan.awaited_until = max(plan.awaited_until, _awaited_until(call))
-        elif job_id in books.ended_by_id:
-            state = books.ended_by_id[job_id].state
+        elif job_id in term_state.ended_by_id:
+            state = term_state.ended_by_id[job_id].state
             answer(arrived, CallOutcome.FOUND, state=state)
-        elif job_id in books.storing_by_id:
-            books.storing_by_id[job_id][1].append(arrived)
+        elif job_id in term_state.storing_by_id:
+            term_state.storing_by_id[job_id][1].append(arrived)
         elif self._state.state_of(job_id) is not None:
             answer(arrived, CallOutcome.ACCEPTED)
         else:
@@ -229,13 +235,13 @@
         return True
 
     def _admit(self, arrived: CallArrived, plan: JobPlan) -> bool:
-        """Refuse a job that would be worthless; tell whether it is taken."""
+        """Refuse a job that can't be served; return whether it is admitted."""
         job = plan.job
         now = time.monotonic()
-        rooms = self._books.rooms_of(job.service)
-        backlog = self._books.backlog(job.service, now)
+        rooms = self._term_state.rooms_of(job.service)
+        backlog = self._term_state.backlog(job.service, now)
         prospect = Prospect.from_backlog(backlog, plan, now)
-        returning = self._books.returning_upstreams(job.service, now)
+        returning = self._term_state.returning_upstreams(job.service, now)
         refusal = admit(rooms, job.steps, prospect, returning)
         if refusal is None:
             backlog.add(plan)
@@ -263,20 +269,20 @@
         )
         return False
 
-    def _take_in(self, plan: JobPlan, arrived: CallArrived) -> None:
-        """Begin with a volatile job, where an earlier leader left off."""
+    def _accept_volatile(self, plan: JobPlan, arrived: CallArrived) -> None:
+        """Accept a volatile job with its runs of an earlier leader, if any."""
         job_id = plan.job.job_id
-        self._books.callers_by_id[job_id] = [arrived]
-        orphans = self._books.orphans.take(job_id)
+        self._term_state.callers_by_id[job_id] = [arrived]
+        orphans = self._term_state.orphans.take(job_id)
         for task_id in orphans.done:
             plan.note_done(task_id)
-        self._begin(plan)
+        self._activate(plan)
         for agent, row in orphans.runs:
-            view = self._books.view_by_name.get(agent)
+            view = self._term_state.view_by_name.get(agent)
             run = view.run_by_task.get(row.task) if view else None
             if view is None or run is None or run.number != row.run:
                 continue
-            found = self._books.find(row.task)
+            found = self._term_state.find(row.task)
             if found is None or found[1].upstream:
                 self._runs.stop(view, row.task)
             else:
@@ -285,14 +291,14 @@
         if plan.is_done:
             self._closer.close(JobEnd(job_id, JobState.COMPLETED))
 
-    def _begin(self, plan: JobPlan) -> None:
-        """Let a job's tasks wait for their starts."""
+    def _activate(self, plan: JobPlan) -> None:
+        """Make a job's tasks available for starts."""
         job = plan.job
         is_open = job.is_volatile or (
             self._state.state_of(job.job_id) is JobState.QUEUED
         )
         if is_open:
-            self._books.plan_by_id[job.job_id] = plan
+            self._term_state.plan_by_id[job.job_id] = plan
         self._metrics.observe_seconds(
             'baobabgap_accept_seconds', time.monotonic() - plan.arrived_at
         )
@@ -303,25 +309,25 @@
             volatile=job.is_volatile,
             tasks=len(plan.task_by_id),
             objective_ms=round(1000 * plan.objective_s),
-            term=self._books.term,
+            term=self._term_state.term,
         )
 
     def _read(self, arrived: CallArrived, match: QueueMatch) -> None:
         job_id = match.rest
-        plan = self._books.plan_by_id.get(job_id)
+        plan = self._term_state.plan_by_id.get(job_id)
         if not job_id:
             waiting = self._count_waiting(match.queue.name)
             answer(arrived, CallOutcome.COUNTED, waiting=waiting)
         elif plan is None:
             self._answer_ended(arrived, job_id)
         elif plan.is_done:
-            self._books.readers_by_id[job_id].append(arrived)
+            self._term_state.readers_by_id[job_id].append(arrived)
         else:
             state = JobState.RUNNING if plan.has_started else JobState.QUEUED
             answer(arrived, CallOutcome.FOUND, state=state)
 
     def _answer_ended(self, arrived: CallArrived, job_id: str) -> None:
-        if job_id in self._books.storing_by_id:
+        if job_id in self._term_state.storing_by_id:
             answer_unavailable(arrived, 'the job is being stored')
             return
         state = self._state.state_of(job_id)
@@ -333,14 +339,14 @@
     def _count_waiting(self, queue: str) -> int:
         return sum(
             1
-            for plan in self._books.plan_by_id.values()
+            for plan in self._term_state.plan_by_id.values()
             if plan.job.queue == queue and not plan.has_started
         )
 
     def _cancel(self, arrived: CallArrived, job_id: str) -> None:
-        books = self._books
-        if job_id not in books.plan_by_id and (
-            job_id not in books.storing_by_id
+        term_state = self._term_state
+        if job_id not in term_state.plan_by_id and (
+            job_id not in term_state.storing_by_id
         ):
             is_cancelled = self._state.state_of(job_id) is JobState.CANCELLED
             answer(
@@ -350,25 +356,25 @@
                 else CallOutcome.NO_SUCH_JOB,
             )
             return
-        if job_id in books.callers_by_id:
+        if job_id in term_state.callers_by_id:
             self._closer.close(JobEnd(job_id, JobState.CANCELLED))
             answer(arrived, CallOutcome.CANCELLED)
             return
-        waiting = books.cancelling_by_id.setdefault(job_id, [])
+        waiting = term_state.cancelling_by_id.setdefault(job_id, [])
         waiting.append(arrived)
         if len(waiting) > 1:
             return
-        term = books.term
+        term = term_state.term
         self._committer.propose(
             CancelAccepted((job_id,), int(time.time() * 1000)),
-            lambda result: self._tell(
+            lambda result: self._post_event(
                 CancelStored(term, job_id, result is not None)
             ),
         )
 
 
 def _awaited_until(call: SubmitJob) -> float:
-    """Return when the caller stops waiting, on the scheduler's clock."""
+    """Return when the caller stops waiting, on the monotonic clock."""
     if not call.patience_ms:
         return math.inf
     return time.monotonic() + (call.patience_ms - call.waited_ms) / 1000
--- a/baobabgap/dispatch/_committer.py
+++ b/baobabgap/dispatch/_committer.py
@@ -1,4 +1,4 @@
-"""Having commands of the accepted jobs' state committed."""
+"""Proposal of commands that change the state of accepted jobs."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -9,12 +9,12 @@
 from baobabgap.replication import ReplicatedLog
 from baobabgap.telemetry import log_event
 
-# What a command without a result of its own brings.
+# The result passed on for a command that has none of its own.
 STORED: Final = 'stored'
 
 
 class Committer:
-    """Proposes commands and hands on what became of them."""
+    """Proposes commands and reports their results."""
 
     def __init__(self, log: ReplicatedLog) -> None:
         self._log: Final = log
@@ -22,9 +22,9 @@
     def propose(self, command: object, on_end: Callable[[Any], None]) -> None:
         """Propose one command.
 
-        `on_end` gets the result once the command is durable and applied,
-        or None if its outcome is unknown; it runs in the task that
-        applies and must not block.
+        `on_end` is called with the result once the command is durable and
+        applied, or with None if its outcome is unknown. It runs in the
+        task that applies commands and must not block.
         """
         future = self._log.propose(encode([command]))
 
@@ -45,4 +45,4 @@
 
 
 def ignore_result(result: object) -> None:
-    """Wait for nothing: a command that is lost is proposed again later."""
+    """Ignore the result: a lost command is proposed again later."""
--- a/baobabgap/dispatch/_control_node.py
+++ b/baobabgap/dispatch/_control_node.py
@@ -1,4 +1,4 @@
-"""A control host that keeps accepted jobs and, as leader, places them."""
+"""A control host, which stores accepted jobs and places them as leader."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -23,8 +23,8 @@
 from baobabgap.dispatch._events import CallDropped
 from baobabgap.dispatch._events import EntryLinked
 from baobabgap.dispatch._events import EntryUnlinked
-from baobabgap.dispatch._group_keeper import GroupKeeper
 from baobabgap.dispatch._leadership import Leadership
+from baobabgap.dispatch._membership_manager import MembershipManager
 from baobabgap.dispatch._messages import CancelPath
 from baobabgap.dispatch._messages import DropCall
 from baobabgap.dispatch._messages import EntryReport
@@ -51,26 +51,26 @@
 from baobabgap.transport import Listener
 from baobabgap.transport import PROCESS_TRAFFIC
 
-_THREADS: Final = 4096
+_MAX_THREADS: Final = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class ControlNodeOptions:
-    """What a control node must know beyond its settings."""
+    """Options of a control node beyond its settings."""
 
     lease_timing: LeaseTiming
     # Milliseconds for which the state of an ended job can be read.
     retention_ms: int
-    # How much longer a task takes away from its data.
+    # Factor by which a task takes longer outside the rack of its data.
     far_factor: float
-    # Members of the control group; others stand by.
+    # Target number of group members; further hosts stand by.
     wanted_members: int
     # Seconds of silence after which a member may be replaced.
     member_patience_s: float
 
 
 class ControlNode:
-    """Serves the control group's links and, while it leads, all members.
+    """Serves links of the control group and, as leader, of all members.
 
     Example::
 
@@ -84,7 +84,7 @@
     ) -> None:
         self._settings: Final = settings
         self._incarnation = uuid.uuid4().hex[:16]
-        self._pool = ThreadPoolExecutor(_THREADS, 'control')
+        self._pool = ThreadPoolExecutor(_MAX_THREADS, 'control')
         self.metrics: Final = Metrics()
         self.metrics.add_source(PROCESS_TRAFFIC.as_metrics)
         self._state = AcceptedState(options.retention_ms)
@@ -96,7 +96,7 @@
             self._log,
             self._state,
             options.lease_timing.confirmation_s,
-            self._close_members,
+            self._close_member_connections,
         )
         self._scheduler = Scheduler(
             self._state,
@@ -104,11 +104,11 @@
             options.lease_timing,
             options.far_factor,
             self._leadership.is_confirmed,
-            self._leadership.begin_again,
+            self._leadership.restart_term,
             self.metrics,
         )
-        self._state.on_configuration = self._put_in_force
-        self._keeper = GroupKeeper(
+        self._state.on_configuration = self._apply_configuration
+        self._membership = MembershipManager(
             self._log, options.wanted_members, options.member_patience_s
         )
         self._limits = RequestLimits()
@@ -136,21 +136,21 @@
 
     @property
     def internal_port(self) -> int:
-        """Where members and the other control hosts dial."""
+        """The port for links of members and other control hosts."""
         return self._listener.port
 
     @property
     def is_leading(self) -> bool:
-        """Tell whether this host leads and knows what was committed."""
+        """Whether this host leads and has applied all that was committed."""
         return self._leadership.term != 0
 
     @property
     def leader(self) -> ControlHost | None:
-        """The leader as far as known here."""
+        """The leader as known to this host, or None."""
         return self._log.leader
 
     def hello(self) -> Hello:
-        """Return how this host introduces itself."""
+        """Return the `Hello` of this host for a new link."""
         return Hello(
             self._settings.name,
             CONTROL_ROLE,
@@ -160,26 +160,26 @@
         )
 
     def start(self) -> None:
-        """Take part in the group."""
+        """Start serving links and take part in the group."""
         self._listener.start()
         self._log.start()
         self._start_task('scheduler', self._scheduler.run)
         self._start_task(
             'leadership', lambda: self._leadership.run(self._scheduler)
         )
-        self._start_task('group keeper', self._keeper.run)
+        self._start_task('membership manager', self._membership.run)
         log_event('control_started', internal_port=self.internal_port)
 
     def stop(self) -> None:
-        """Hand leadership over, then stop."""
+        """Transfer leadership if this host leads, then stop."""
         if self._log.is_leader:
             handed_over = self._log.transfer_leadership()
             log_event('leadership_handed_over', succeeded=handed_over)
-        self._keeper.stop()
+        self._membership.stop()
         self._leadership.stop()
         self._scheduler.stop()
         self._listener.stop()
-        self._close_members()
+        self._close_member_connections()
         self._log.stop()
         log_event('control_stopped')
 
@@ -189,7 +189,7 @@
         ready: LeaderReady,
         messages: Iterator[object],
     ) -> None:
-        """Ask the leader to be taken in; for a `LeaderLink` of this host."""
+        """Request membership in the group; a session for a `LeaderLink`."""
         connection.send(
             JoinGroup(
                 self._settings.name,
@@ -203,10 +203,10 @@
     def put_configuration(
         self, configuration: QueueConfiguration
     ) -> Future[Any]:
-        """Have a configuration stored; completes once it is in force.
+        """Store a configuration; the future completes once it is in force.
 
-        Fails with `NotLeader` or `OutcomeUnknown`. One whose version is
-        not higher than the one in force changes nothing.
+        The future fails with `NotLeader` or `OutcomeUnknown`. A version
+        that is not higher than the one in force has no effect.
         """
         if not self.is_leading:
             future: Future[Any] = Future()
@@ -226,7 +226,7 @@
         return future
 
     def read_configuration(self) -> Future[QueueConfiguration | None]:
-        """Read the newest configuration; fails with `NotLeader`."""
+        """Read the newest configuration; the future fails with `NotLeader`."""
         future: Future[QueueConfiguration | None] = Future()
 
         def read(done: Future[int]) -> None:
@@ -239,8 +239,8 @@
         self._log.read_barrier().add_done_callback(read)
         return future
 
-    def _put_in_force(self, configuration: QueueConfiguration) -> None:
-        self._scheduler.put_in_force(
+    def _apply_configuration(self, configuration: QueueConfiguration) -> None:
+        self._scheduler.use_queue_table(
             QueueTable.from_configuration(configuration)
         )
         log_event(
@@ -260,7 +260,8 @@
             try:
                 run()
             except Exception as error:
-                # Without this task the host is useless: others take over.
+                # The host can't serve without this task; another host takes
+                # over.
                 log_event(
                     'task_failed',
                     task=name,
@@ -314,27 +315,31 @@
                 log_event('unknown_role', role=role[:40])
 
     def _serve_agent(self, connection: Connection) -> None:
-        self._scheduler.tell(AgentLinked(connection))
+        self._scheduler.post_event(AgentLinked(connection))
         try:
             for message in connection.messages():
-                self._scheduler.tell(AgentReported(connection, message))
+                self._scheduler.post_event(AgentReported(connection, message))
         finally:
-            self._scheduler.tell(AgentUnlinked(connection))
+            self._scheduler.post_event(AgentUnlinked(connection))
 
     def _serve_entry(self, connection: Connection) -> None:
         try:
-            self._take_calls(connection)
+            self._serve_entry_messages(connection)
         finally:
             peer = connection.peer
-            self._scheduler.tell(EntryUnlinked(peer.name, peer.incarnation))
+            self._scheduler.post_event(
+                EntryUnlinked(peer.name, peer.incarnation)
+            )
 
-    def _take_calls(self, connection: Connection) -> None:
+    def _serve_entry_messages(self, connection: Connection) -> None:
         for message in connection.messages():
             match message:
                 case SubmitJob() | ReadPath() | CancelPath():
-                    self._scheduler.tell(CallArrived(message, connection))
+                    self._scheduler.post_event(
+                        CallArrived(message, connection)
+                    )
                 case EntryReport(begun_job_ids=job_ids):
-                    self._scheduler.tell(
+                    self._scheduler.post_event(
                         EntryLinked(
                             connection.peer.name,
                             connection.peer.incarnation,
@@ -342,20 +347,20 @@
                         )
                     )
                 case DropCall(call=call):
-                    self._scheduler.tell(CallDropped(call, connection))
+                    self._scheduler.post_event(CallDropped(call, connection))
 
     def _serve_joiner(self, connection: Connection) -> None:
         name = connection.peer.name
         try:
             for message in connection.messages():
                 if isinstance(message, JoinGroup):
-                    self._keeper.offer(
+                    self._membership.add_candidate(
                         ControlHost(message.name, message.host, message.port)
                     )
         finally:
-            self._keeper.withdraw(name)
+            self._membership.remove_candidate(name)
 
-    def _close_members(self) -> None:
+    def _close_member_connections(self) -> None:
         with self._member_lock:
             members = list(self._members)
         for connection in members:
--- /dev/null
+++ b/baobabgap/dispatch/_entry_registry.py
@@ -0,0 +1,84 @@
+"""Incarnations of entries whose jobs may have runs of an earlier term."""
+
+from typing import Final
+
+from baobabgap.accepted import AcceptedState
+from baobabgap.accepted import DismissMembers
+from baobabgap.accepted import EnrolMembers
+from baobabgap.dispatch._committer import Committer
+from baobabgap.dispatch._committer import ignore_result
+from baobabgap.dispatch._events import EntryLinked
+from baobabgap.dispatch._events import EntryUnlinked
+from baobabgap.dispatch._roles import ENTRY_ROLE
+from baobabgap.dispatch._term_state import TermState
+from baobabgap.telemetry import log_event
+
+# Seconds after which a disconnected entry is dismissed: by then its clients
+# have submitted their jobs elsewhere or have given up.
+_UNLINKED_RETENTION_S: Final = 30.0
+
+
+class EntryRegistry:
+    """Enrols entries per incarnation and dismisses ended incarnations.
+
+    An incarnation ends with its process: the next one doesn't know which
+    jobs were sent to a leader. An earlier incarnation is dismissed only
+    after a takeover, because its jobs may have runs until then.
+    """
+
+    def __init__(
+        self, term_state: TermState, state: AcceptedState, committer: Committer
+    ) -> None:
+        self._term_state: Final = term_state
+        self._state: Final = state
+        self._committer: Final = committer
+        self.reset()
+
+    def reset(self) -> None:
+        """Clear all state for a new term."""
+        # The current incarnation of each entry, as a member name.
+        self._member_by_entry: dict[str, str] = {}
+        self._unlinked_at_by_member: dict[str, float | None] = {}
+
+    def handle_link(self, event: EntryLinked) -> None:
+        """Process the first report of an entry on a new link."""
+        entry = f'{event.name}/{event.incarnation}'
+        self._term_state.takeover.note_entry_report(entry, event.begun_job_ids)
+        member = f'{ENTRY_ROLE}/{entry}'
+        self._member_by_entry[event.name] = member
+        self._unlinked_at_by_member.pop(member, None)
+        if member not in self._state.members:
+            self._committer.propose(EnrolMembers((member,)), ignore_result)
+
+    def handle_lost_link(self, event: EntryUnlinked) -> None:
+        """Process the loss of a link of an entry."""
+        member = f'{ENTRY_ROLE}/{event.name}/{event.incarnation}'
+        self._unlinked_at_by_member[member] = None
+
+    def check(self, now: float) -> None:
+        """Dismiss incarnations that no takeover has to wait for."""
+        self._term_state.takeover.end_if_due(now)
+        if not self._term_state.takeover.is_over:
+            return
+        expired = tuple(
+            member
+            for member in tuple(self._state.members)
+            if member.startswith(f'{ENTRY_ROLE}/')
+            and self._is_expired(member, now)
+        )
+        if expired:
+            log_event('entries_dismissed', members=expired)
+            self._committer.propose(DismissMembers(expired), ignore_result)
+
+    def _is_expired(self, member: str, now: float) -> bool:
+        name = member.split('/')[1]
+        current = self._member_by_entry.get(name)
+        if current is not None and current != member:
+            return True
+        if current == member and member not in self._unlinked_at_by_member:
+            return False
+        unlinked_at = self._unlinked_at_by_member.get(member)
+        if unlinked_at is None:
+            self._unlinked_at_by_member[member] = now
+            return False
+        return now - unlinked_at > _UNLINKED_RETENTION_S
--- a/baobabgap/dispatch/_events.py
+++ b/baobabgap/dispatch/_events.py
@@ -1,4 +1,4 @@
-"""What the scheduler is told, in the order in which it happened."""
+"""Events for the scheduler, queued in the order of their occurrence."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,18 +15,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Led:
-    """This host leads, and knows all that earlier leaders committed."""
+class LeadershipGained:
+    """This host leads and has applied all that earlier leaders committed."""
 
     term: int
     unfinished: tuple[UnfinishedJob, ...]
-    # Members that may hold something of an earlier term, as `role/name`.
+    # Members that may hold state of an earlier term, as `role/name`.
     members: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class StoodDown:
-    """This host leads no more."""
+class LeadershipLost:
+    """This host no longer leads."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,13 +34,13 @@
     """An entry forwards a call."""
 
     call: Call
-    # The link that the answer goes back on.
+    # The link for the answer.
     connection: Connection
 
 
 @dataclass(frozen=True, slots=True)
 class CallDropped:
-    """Nobody waits for the answer to a call any more."""
+    """No client waits for the answer to a call any more."""
 
     call: int
     connection: Connection
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndsStored:
-    """Ends of runs are durable; they have ended these jobs."""
+    """Ends of runs are durable; `job_ends` are the jobs that they ended."""
 
     term: int
     batch: int
@@ -97,11 +97,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryLinked:
-    """An entry has a new link, and says what it has under way."""
+    """An entry has a new link and has sent its first report."""
 
     name: str
     incarnation: str
-    # Volatile jobs that this incarnation has sent to an earlier leader.
+    # Volatile jobs that this incarnation sent to an earlier leader.
     begun_job_ids: tuple[str, ...]
 
 
@@ -115,15 +115,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersEnrolled:
-    """An agent is durably known, and may get runs."""
+    """The enrolment of an agent is durable; it may be sent runs."""
 
     term: int
     name: str
 
 
 Event = (
-    Led
-    | StoodDown
+    LeadershipGained
+    | LeadershipLost
     | CallArrived
     | CallDropped
     | AgentLinked
@@ -137,5 +137,5 @@
     | MembersEnrolled
 )
 
-# Hands an event to the scheduler's task.
-Tell = Callable[[Event], None]
+# Puts an event into the scheduler's queue.
+PostEvent = Callable[[Event], None]
--- a/baobabgap/dispatch/_closing.py
+++ b/baobabgap/dispatch/_job_closer.py
@@ -1,4 +1,4 @@
-"""Ends of runs made durable, and jobs closed."""
+"""Storage of run ends and closing of ended jobs."""
 
 import time
 from typing import Final
@@ -6,59 +6,59 @@
 from baobabgap.accepted import JobEnd
 from baobabgap.accepted import NoteEnds
 from baobabgap.accepted import TaskEnd
-from baobabgap.dispatch._books import Books
-from baobabgap.dispatch._books import EndedJob
 from baobabgap.dispatch._committer import Committer
 from baobabgap.dispatch._events import EndsStored
-from baobabgap.dispatch._events import Tell
+from baobabgap.dispatch._events import PostEvent
 from baobabgap.dispatch._messages import CallOutcome
 from baobabgap.dispatch._messages import EndsNoted
 from baobabgap.dispatch._replies import answer
-from baobabgap.dispatch._run_book import RunBook
+from baobabgap.dispatch._run_tracker import RunTracker
+from baobabgap.dispatch._term_state import EndedJob
+from baobabgap.dispatch._term_state import TermState
 from baobabgap.telemetry import log_event
 from baobabgap.telemetry import Metrics
 
 
 class JobCloser:
-    """Stores ends in batches, and lets go of jobs that have ended.
+    """Stores run ends in batches and closes jobs that have ended.
 
-    An upstream may forget an end only after all ends up to it that belong
-    to stored jobs are durable.
+    An upstream may discard an end only after that end and all earlier ones
+    that belong to stored jobs are durable.
     """
 
     def __init__(
         self,
-        books: Books,
-        runs: RunBook,
+        term_state: TermState,
+        runs: RunTracker,
         committer: Committer,
-        tell: Tell,
+        post_event: PostEvent,
         metrics: Metrics,
     ) -> None:
-        self._books: Final = books
+        self._term_state: Final = term_state
         self._runs: Final = runs
         self._committer: Final = committer
-        self._tell: Final = tell
+        self._post_event: Final = post_event
         self._metrics: Final = metrics
         self._last_batch = 0
         self.reset()
 
     def reset(self) -> None:
-        """Forget what waits: a new term begins."""
+        """Discard pending ends for a new term."""
         self._unstored: list[TaskEnd] = []
-        # The highest end numbers that the next batch makes durable.
+        # The highest end number of each agent in the next batch.
         self._noted_by_agent: dict[str, EndsNoted] = {}
         self._noted_by_batch: dict[int, dict[str, EndsNoted]] = {}
 
     def add_end(self, end: TaskEnd) -> None:
-        """Have an end stored with the next batch."""
+        """Add an end to the next batch."""
         self._unstored.append(end)
 
     def add_noted(self, agent: str, noted: EndsNoted) -> None:
-        """Tell an agent once all ends added so far are durable."""
+        """Notify an agent once all ends added so far are durable."""
         self._noted_by_agent[agent] = noted
 
     def store(self) -> None:
-        """Store what has been added; tell at once if nothing need be."""
+        """Store the next batch; notify at once if nothing is to be stored."""
         if not self._noted_by_agent:
             return
         noted = self._noted_by_agent
@@ -67,43 +67,45 @@
             self._send(noted)
             return
         self._last_batch += 1
-        batch, term = self._last_batch, self._books.term
+        batch, term = self._last_batch, self._term_state.term
         self._noted_by_batch[batch] = noted
         ends = tuple(self._unstored)
         self._unstored = []
 
         def stored(result: list[JobEnd] | None) -> None:
             if result is not None:
-                self._tell(EndsStored(term, batch, tuple(result)))
+                self._post_event(EndsStored(term, batch, tuple(result)))
 
         self._committer.propose(
             NoteEnds(ends, int(time.time() * 1000)), stored
         )
 
-    def take_stored(self, event: EndsStored) -> None:
-        """A batch is durable: tell the agents, and close jobs."""
-        if event.term != self._books.term:
+    def handle_stored(self, event: EndsStored) -> None:
+        """Notify agents of a durable batch and close the jobs it ended."""
+        if event.term != self._term_state.term:
             return
         self._send(self._noted_by_batch.pop(event.batch))
         for job_end in event.job_ends:
             self.close(job_end)
 
     def close(self, job_end: JobEnd) -> None:
-        """Answer who waits for a job's end, and stop what still runs."""
-        books = self._books
+        """Answer calls that wait for a job's end; stop its remaining runs."""
+        term_state = self._term_state
         job_id, state = job_end.job_id, job_end.state
         now = time.monotonic()
-        callers = books.callers_by_id.pop(job_id, [])
+        callers = term_state.callers_by_id.pop(job_id, [])
         if callers:
-            books.ended_by_id[job_id] = EndedJob(state, now)
-        for call in (*callers, *books.readers_by_id.pop(job_id, [])):
+            term_state.ended_by_id[job_id] = EndedJob(state, now)
+        for call in (*callers, *term_state.readers_by_id.pop(job_id, [])):
             answer(call, CallOutcome.FOUND, state=state)
-        plan = books.plan_by_id.pop(job_id, None)
+        plan = term_state.plan_by_id.pop(job_id, None)
         if plan is None:
             return
         for task in plan.task_by_id.values():
             if task.upstream:
-                self._runs.stop(books.view_by_name[task.upstream], task.task)
+                self._runs.stop(
+                    term_state.view_by_name[task.upstream], task.task
+                )
         taken_s = now - plan.arrived_at
         self._metrics.count(f'baobabgap_jobs_total{{end="{state}"}}')
         self._metrics.observe_seconds('baobabgap_job_seconds', taken_s)
@@ -117,6 +119,6 @@
 
     def _send(self, noted_by_agent: dict[str, EndsNoted]) -> None:
         for name, noted in noted_by_agent.items():
-            view = self._books.view_by_name.get(name)
+            view = self._term_state.view_by_name.get(name)
             if view is not None and view.connection is not None:
                 view.connection.send(noted)
--- a/baobabgap/dispatch/_leadership.py
+++ b/baobabgap/dispatch/_leadership.py
@@ -1,4 +1,4 @@
-"""Watching whether this host leads, and whether that is confirmed."""
+"""Monitoring of this host's leadership and its confirmation."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -7,25 +7,24 @@
 
 from baobabgap.accepted import AcceptedState
 from baobabgap.accepted import UnfinishedJob
-from baobabgap.dispatch._events import Led
-from baobabgap.dispatch._events import StoodDown
+from baobabgap.dispatch._events import LeadershipGained
+from baobabgap.dispatch._events import LeadershipLost
 from baobabgap.dispatch._scheduler import Scheduler
 from baobabgap.dispatch._timing import boot_time
 from baobabgap.replication import ReplicatedLog
 from baobabgap.telemetry import log_event
 
-# Seconds between confirmations: several fit into the time for which one
-# counts.
-_CONFIRM_PAUSE_S: Final = 0.1
-# Seconds between looks at the role of this host.
-_LOOK_PAUSE_S: Final = 0.03
+# Seconds between confirmations; several fit into the validity of one.
+_CONFIRM_INTERVAL_S: Final = 0.1
+# Seconds between checks of the role of this host.
+_CHECK_INTERVAL_S: Final = 0.03
 
 
 class Leadership:
-    """Tells the scheduler when this host leads and when it has ceased to.
+    """Notifies the scheduler when this host gains or loses leadership.
 
     A confirmation is a read barrier: a majority has answered a message
-    that was sent after the moment which the confirmation counts from.
+    sent after the time from which the confirmation is valid.
     """
 
     def __init__(
@@ -33,66 +32,67 @@
         log: ReplicatedLog,
         state: AcceptedState,
         confirmation_s: float,
-        on_stand_down: Callable[[], None],
+        on_step_down: Callable[[], None],
     ) -> None:
         self._log: Final = log
         self._state: Final = state
         self._confirmation_s: Final = confirmation_s
-        self._on_stand_down: Final = on_stand_down
+        self._on_step_down: Final = on_step_down
         self._confirmed_at = float('-inf')
-        self._confirming_since = float('-inf')
-        # The term that the scheduler has been told of; 0 for none.
+        self._confirm_requested_at = float('-inf')
+        # The term that the scheduler has been notified of; 0 for none.
         self.term = 0
-        self._asked_term = 0
+        self._requested_term = 0
         self._stopping = threading.Event()
 
     def is_confirmed(self) -> bool:
-        """Tell whether this host has surely led a moment ago."""
+        """Return whether a majority has recently confirmed this leader."""
         return boot_time() - self._confirmed_at <= self._confirmation_s
 
-    def begin_again(self) -> None:
-        """Have the scheduler begin anew in the present term."""
+    def restart_term(self) -> None:
+        """Start the current term again, after a failure of the scheduler."""
         self.term = 0
-        self._asked_term = 0
-        self._on_stand_down()
+        self._requested_term = 0
+        self._on_step_down()
 
     def stop(self) -> None:
-        """End the task; this host leads no more."""
+        """Stop the task; this host no longer leads."""
         self._stopping.set()
         self.term = 0
         self._confirmed_at = float('-inf')
 
     def run(self, scheduler: Scheduler) -> None:
-        """Watch until stopped."""
-        while not self._stopping.wait(_LOOK_PAUSE_S):
+        """Monitor leadership until stopped."""
+        while not self._stopping.wait(_CHECK_INTERVAL_S):
             term = self._log.leading_term
             if term is None:
-                self._stand_down(scheduler)
-            elif term != self._asked_term:
-                self._stand_down(scheduler)
-                self._asked_term = term
-                self._begin(scheduler, term)
+                self._step_down(scheduler)
+            elif term != self._requested_term:
+                self._step_down(scheduler)
+                self._requested_term = term
+                self._begin_term(scheduler, term)
             elif self.term == term:
                 self._confirm()
 
-    def _stand_down(self, scheduler: Scheduler) -> None:
-        self._asked_term = 0
+    def _step_down(self, scheduler: Scheduler) -> None:
+        self._requested_term = 0
         self._confirmed_at = float('-inf')
         if self.term:
             self.term = 0
-            scheduler.tell(StoodDown())
-            self._on_stand_down()
+            scheduler.post_event(LeadershipLost())
+            self._on_step_down()
 
-    def _begin(self, scheduler: Scheduler, term: int) -> None:
-        """Learn what earlier leaders have committed, then lead."""
+    def _begin_term(self, scheduler: Scheduler, term: int) -> None:
+        """Apply all that earlier leaders committed, then start to lead."""
         asked_at = boot_time()
 
         def begin(done: Future[int]) -> None:
-            # Runs in the task that applies, so the state stands still.
+            # Runs in the task that applies commands, so that the state
+            # doesn't change meanwhile.
             error = done.exception()
             if error is not None:
                 log_event('leading_not_begun', term=term, error=str(error))
-                self._asked_term = 0
+                self._requested_term = 0
                 return
             unfinished = tuple(
                 UnfinishedJob(
@@ -106,8 +106,10 @@
                 for job in self._state.unfinished_by_id.values()
             )
             self._confirmed_at = asked_at
-            scheduler.tell(
-                Led(term, unfinished, tuple(sorted(self._state.members)))
+            scheduler.post_event(
+                LeadershipGained(
+                    term, unfinished, tuple(sorted(self._state.members))
+                )
             )
             self.term = term
 
@@ -115,9 +117,9 @@
 
     def _confirm(self) -> None:
         now = boot_time()
-        if now - self._confirming_since < _CONFIRM_PAUSE_S:
+        if now - self._confirm_requested_at < _CONFIRM_INTERVAL_S:
             return
-        self._confirming_since = now
+        self._confirm_requested_at = now
 
         def confirmed(done: Future[int]) -> None:
             if done.exception() is None and self.term:
--- a/baobabgap/dispatch/_group_keeper.py
+++ b/baobabgap/dispatch/_membership_manager.py
@@ -1,4 +1,4 @@
-"""Keeping the control group at its size, as the leader."""
+"""Maintenance of the control group's size by its leader."""
 
 import threading
 import time
@@ -9,17 +9,17 @@
 from baobabgap.settings import ControlHost
 from baobabgap.telemetry import log_event
 
-_LOOK_PAUSE_S: Final = 0.5
-# Seconds within which a membership change should be committed.
-_CHANGE_LIMIT_S: Final = 10.0
+_CHECK_INTERVAL_S: Final = 0.5
+# Seconds to wait for a membership change to be committed.
+_CHANGE_TIMEOUT_S: Final = 10.0
 
 
-class GroupKeeper:
-    """Takes in hosts that ask for it, in place of members that are gone.
+class MembershipManager:
+    """Adds candidate hosts to the group and replaces silent members.
 
-    The group has as many voters as it takes to bear the stated losses;
-    further hosts stand by until one of the members has been silent for
-    `patience_s`.
+    The group has as many voters as are needed to tolerate the configured
+    number of failures. Further hosts stand by until a member has been
+    silent for `patience_s` seconds.
     """
 
     def __init__(
@@ -33,34 +33,34 @@
         self._leading_since: float | None = None
         self._stopping = threading.Event()
 
-    def offer(self, host: ControlHost) -> None:
-        """Note a host that stands by."""
+    def add_candidate(self, host: ControlHost) -> None:
+        """Add a host that is ready to become a member."""
         with self._lock:
             self._candidate_by_name[host.name] = host
 
-    def withdraw(self, name: str) -> None:
-        """Forget a host that is no longer linked."""
+    def remove_candidate(self, name: str) -> None:
+        """Remove a host that is no longer linked."""
         with self._lock:
             self._candidate_by_name.pop(name, None)
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop the task."""
         self._stopping.set()
 
     def run(self) -> None:
-        """Look after the group until stopped."""
-        while not self._stopping.wait(_LOOK_PAUSE_S):
+        """Maintain the group until stopped."""
+        while not self._stopping.wait(_CHECK_INTERVAL_S):
             if not self._log.is_leader:
                 self._leading_since = None
                 continue
             if self._leading_since is None:
                 self._leading_since = time.monotonic()
             try:
-                self._look()
+                self._adjust_members()
             except BaobabgapError as error:
                 log_event('group_not_changed', error=str(error))
 
-    def _look(self) -> None:
+    def _adjust_members(self) -> None:
         members = self._log.status().members
         names = {member.name for member in members}
         with self._lock:
@@ -74,18 +74,18 @@
         if len(members) < self._wanted_members:
             host = candidates[0]
             log_event('member_added', member=host.name, address=host.address)
-            self._log.add_member(host).result(_CHANGE_LIMIT_S)
+            self._log.add_member(host).result(_CHANGE_TIMEOUT_S)
             return
         silent = self._silent_member(names)
         if silent:
             log_event('member_removed', member=silent, reason='silent')
-            self._log.remove_member(silent).result(_CHANGE_LIMIT_S)
+            self._log.remove_member(silent).result(_CHANGE_TIMEOUT_S)
 
     def _silent_member(self, names: set[str]) -> str:
-        """Return a member that has been silent for too long, or empty."""
+        """Return a member that has been silent too long, or an empty name."""
         assert self._leading_since is not None
-        led_s = time.monotonic() - self._leading_since
-        if led_s < self._patience_s:
+        leading_s = time.monotonic() - self._leading_since
+        if leading_s < self._patience_s:
             return ''
         for name, silence_s in self._log.silence_s_by_member().items():
             if name in names and silence_s > self._patience_s:
--- a/baobabgap/dispatch/_messages.py
+++ b/baobabgap/dispatch/_messages.py
@@ -11,25 +11,25 @@
 
 
 class CallOutcome(StrEnum):
-    """How the leader answers a caller."""
+    """Outcome of a call, as answered by the leader."""
 
-    # The job is durable, now or since an earlier submission.
+    # The job is durable, by this submission or an earlier one.
     ACCEPTED = 'accepted'
     # `state` holds the job's state.
     FOUND = 'found'
     # `waiting` holds the number of jobs without a started task.
     COUNTED = 'counted'
-    # The job is cancelled, durably.
+    # The cancellation is durable.
     CANCELLED = 'cancelled'
-    # The input breaks the stated rules.
+    # The input violates the documented rules.
     INVALID = 'invalid'
     # No queue has this host and path.
     NO_SUCH_QUEUE = 'no_such_queue'
-    # No such job is known.
+    # The job is unknown.
     NO_SUCH_JOB = 'no_such_job'
-    # The job was not accepted and never runs: too much work waits.
+    # The job was not accepted and never runs: too much work is queued.
     OVERLOADED = 'overloaded'
-    # Nothing was done: there is no leader, or it has no configuration.
+    # Nothing was done: there is no leader or no configuration.
     UNAVAILABLE = 'unavailable'
     # The call may or may not have taken effect.
     UNKNOWN = 'unknown'
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitJob:
-    """A caller hands in a job."""
+    """Submits a job for a caller."""
 
     # Copied to the answer.
     call: int
@@ -45,28 +45,29 @@
     path: str
     payload: str
     steps: tuple[Step, ...]
-    # Whether the answer is to come when the job has ended, and nothing
-    # need be stored.
+    # Whether the answer is sent when the job has ended and nothing is
+    # stored.
     is_volatile: bool = False
-    # Milliseconds since the entry got it: its caller has waited as long.
+    # Milliseconds that the caller has waited since the entry got the job.
     waited_ms: int = 0
-    # Milliseconds from then on within which an answer is of use; 0: always.
+    # Milliseconds, counted from the same moment, for which the caller waits
+    # for an answer; 0 for no limit.
     patience_ms: int = 0
-    # Whether the entry has sent it before, so that it may have begun.
+    # Whether the entry sent the job before, so that it may have begun.
     is_repeat: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class DropCall:
-    """The caller of a volatile job is gone: nobody wants its answer."""
+    """Reports that the caller of a volatile job has disconnected."""
 
-    # The number of the call that handed it in.
+    # The number of the call that submitted the job.
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReadPath:
-    """A caller asks for a job's state, or for a queue's length."""
+    """Reads a job's state or a queue's length for a caller."""
 
     call: int
     host: str
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelPath:
-    """A caller cancels a job."""
+    """Cancels a job for a caller."""
 
     call: int
     host: str
@@ -86,30 +87,30 @@
 class EntryReport:
     """The first message of an entry to each leader."""
 
-    # Volatile jobs that it has handed to an earlier leader lately: their
-    # tasks may run. Any other job is certainly new.
+    # Volatile jobs recently sent to an earlier leader, whose tasks may be
+    # running. Any other job is certainly new.
     begun_job_ids: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class CallAnswer:
-    """The answer to any of the calls."""
+    """The answer to a call."""
 
     call: int
     outcome: CallOutcome
     state: str = ''
     waiting: int = 0
-    # Milliseconds after which the caller should come again; 0 for none.
+    # Milliseconds after which the caller should retry; 0 for none.
     retry_after_ms: int = 0
-    # What is wrong, for people.
+    # The error in readable form.
     detail: str = ''
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderReady:
-    """The sender leads and takes calls and reports."""
+    """States that the sender leads and accepts calls and reports."""
 
-    # Orders with a lower fence are void.
+    # Orders with a lower fence are rejected.
     fence: int
     # Internal addresses of all control hosts, as host:port.
     control_addresses: tuple[str, ...]
@@ -122,9 +123,10 @@
 
     task: TaskId
     run: int
-    # Whether it's certain that the upstream has it.
+    # Whether the upstream is known to have it.
     is_confirmed: bool
-    # What it occupies; nothing if an earlier process of the agent knew.
+    # The resources it occupies; zero if only an earlier process of the
+    # agent knew them.
     demand: Demand = Demand()
 
 
@@ -132,7 +134,7 @@
 class EndRow:
     """A run that ended on an upstream."""
 
-    # Counts the ends of one incarnation of the upstream.
+    # Sequence number among the ends of one instance of the upstream.
     number: int
     task: TaskId
     run: int
@@ -141,28 +143,28 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamState:
-    """An upstream as its agent knows it."""
+    """State of an upstream as known to its agent."""
 
-    # The identity of one life of the upstream.
+    # Identifies one instance (process lifetime) of the upstream.
     instance: str
-    # Milliseconds since 1970 at which that life began.
+    # Start time of the instance, milliseconds since 1970.
     born_ms: int
     service: str
     availability_zone: str
     labels: tuple[str, ...]
     capacity: Demand
-    # Whether it finishes what it has and takes nothing new.
+    # Whether it finishes its runs and accepts no new ones.
     is_draining: bool
-    # Whether its agent has reached it lately.
+    # Whether its agent has reached it recently.
     is_reachable: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FullReport:
-    """All that an agent knows; the first message to each leader."""
+    """Complete state of an agent; its first message to each leader."""
 
     fence: int
-    # None if no upstream has announced itself.
+    # None if no upstream has registered with the agent.
     upstream: UpstreamState | None
     running: tuple[RunRow, ...]
     ended: tuple[EndRow, ...]
@@ -170,9 +172,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamQuiet:
-    """An upstream that has not announced itself yet runs nothing.
+    """States that an upstream without a registration runs nothing.
 
-    It has seen the fence, so that no earlier order can start anything.
+    The upstream has received the fence, so that no order with a lower fence
+    can start a run.
     """
 
     fence: int
@@ -180,9 +183,9 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamChanged:
-    """The upstream has come, changed or gone.
+    """Reports that the upstream has appeared, changed or left.
 
-    With another instance, all runs of the earlier one are over.
+    If the instance differs, all runs of the earlier one have ended.
     """
 
     upstream: UpstreamState | None
@@ -190,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunsEnded:
-    """Runs have ended on the upstream."""
+    """Reports runs that have ended on the upstream."""
 
     instance: str
     born_ms: int
@@ -199,18 +202,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RunsGone:
-    """Runs that certainly don't run and will not: refused or lapsed."""
+    """Reports runs that neither run nor will run: refused or lapsed."""
 
     instance: str
     born_ms: int
     runs: tuple[RunRow, ...]
-    # room, late, unhealthy, unanswered or lapsed, for the log.
+    # room, late, unhealthy, unanswered or lapsed; used in logs.
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class RunsFound:
-    """The upstream lists runs that its agent has not ordered."""
+    """Reports runs on the upstream that its agent did not order."""
 
     instance: str
     born_ms: int
@@ -219,18 +222,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AuthorityRequest:
-    """An agent asks to go on renewing its upstream's lease."""
+    """Requests authority to keep renewing the upstream's lease."""
 
-    # A reading of the upstream's clock, taken before this was sent.
+    # The upstream's clock, read before the request was sent.
     clock_ms: int
     instance: str
-    # Runs that the upstream lists.
+    # The number of runs that the upstream lists.
     running: int
 
 
 @dataclass(frozen=True, slots=True)
 class Authority:
-    """The agent may renew leases until a time on the upstream's clock."""
+    """Permits renewal of leases until a time on the upstream's clock."""
 
     fence: int
     instance: str
@@ -239,7 +242,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOrder:
-    """Start one run of a task."""
+    """An order to start one run of a task."""
 
     task: TaskId
     run: int
@@ -249,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRuns:
-    """Start runs on the upstream, in this order."""
+    """Orders starts of runs on the upstream, in the given sequence."""
 
     fence: int
     instance: str
@@ -259,7 +262,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRuns:
-    """Stop runs; their ends are reported as usual."""
+    """Orders stops of runs; their ends are reported as usual."""
 
     fence: int
     runs: tuple[RunRow, ...]
@@ -267,7 +270,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndsNoted:
-    """All ends up to a number are durable."""
+    """Confirms that all ends up to a number are durable."""
 
     instance: str
     born_ms: int
@@ -276,7 +279,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinGroup:
-    """A control host outside of the group asks to be taken in."""
+    """Requests membership for a control host outside the group."""
 
     name: str
     host: str
--- a/baobabgap/dispatch/_replies.py
+++ b/baobabgap/dispatch/_replies.py
@@ -1,4 +1,4 @@
-"""Answering the calls that entries forward."""
+"""Answers to the calls that entries forward."""
 
 from typing import Final
 
@@ -6,8 +6,8 @@
 from baobabgap.dispatch._messages import CallAnswer
 from baobabgap.dispatch._messages import CallOutcome
 
-# Retry-After of a call that found no working leader, milliseconds: about
-# one election.
+# Retry-After of a call that found no working leader, milliseconds; about the
+# duration of an election.
 _NO_LEADER_RETRY_MS: Final = 1000
 
 
@@ -20,7 +20,7 @@
     retry_after_ms: int = 0,
     detail: str = '',
 ) -> None:
-    """Send the answer back on the link that the call came on."""
+    """Send the answer on the link that the call arrived on."""
     arrived.connection.send(
         CallAnswer(
             arrived.call.call, outcome, state, waiting, retry_after_ms, detail
@@ -29,7 +29,7 @@
 
 
 def answer_unavailable(arrived: CallArrived, detail: str) -> None:
-    """Say that nothing was done, and when to come back."""
+    """Answer that nothing was done and when to retry."""
     answer(
         arrived,
         CallOutcome.UNAVAILABLE,
--- a/baobabgap/dispatch/_roles.py
+++ b/baobabgap/dispatch/_roles.py
@@ -1,9 +1,9 @@
-"""What a process says that it is when it links."""
+"""Roles that a process states when it opens a link."""
 
 from typing import Final
 
 CONTROL_ROLE: Final = 'control'
 ENTRY_ROLE: Final = 'entry'
 AGENT_ROLE: Final = 'agent'
-# A control host that wants to be taken into the group.
+# A control host that asks to become a member of the group.
 JOINER_ROLE: Final = 'joiner'
--- a/baobabgap/dispatch/_run_book.py
+++ b/baobabgap/dispatch/_run_tracker.py
@@ -1,4 +1,4 @@
-"""Keeping account of runs: on which upstream each one occupies room."""
+"""Tracking of runs and of the resources they occupy on upstreams."""
 
 import math
 import time
@@ -7,27 +7,27 @@
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch._agent_view import AgentView
 from baobabgap.dispatch._agent_view import Run
-from baobabgap.dispatch._books import Books
 from baobabgap.dispatch._messages import RunRow
 from baobabgap.dispatch._messages import StopRuns
+from baobabgap.dispatch._term_state import TermState
 from baobabgap.scheduling import JobPlan
 from baobabgap.scheduling import PlannedTask
 from baobabgap.telemetry import log_event
 
-# Reasons for a run's absence that speak against its upstream.
+# Reasons for the loss of a run that suggest a fault of its upstream.
 _SUSPICIOUS_REASONS: Final = ('unanswered', 'unhealthy')
 
 
 def task_text(task: TaskId) -> str:
-    """Return a task within its job, as logs write it."""
+    """Return the log representation of a task within its job."""
     return f'{task.step}.{task.index}'
 
 
-class RunBook:
-    """Adds and removes runs, and orders their stops."""
+class RunTracker:
+    """Adds and removes runs and orders stops."""
 
-    def __init__(self, books: Books) -> None:
-        self._books: Final = books
+    def __init__(self, term_state: TermState) -> None:
+        self._term_state: Final = term_state
 
     def add(
         self,
@@ -38,7 +38,7 @@
         *,
         was_found: bool = False,
     ) -> None:
-        """Note a run that is ordered, or was found on an upstream."""
+        """Record a run that was ordered or found on an upstream."""
         plan.note_started(task, view.name, number)
         step = task.task.step
         self._occupy(
@@ -54,7 +54,7 @@
         )
 
     def add_unwanted(self, view: AgentView, row: RunRow) -> None:
-        """Note a run that belongs to no job here."""
+        """Record a run that belongs to no known job."""
         if row.task in view.run_by_task:
             self.remove(view, row.task)
         self._occupy(
@@ -70,14 +70,14 @@
         )
 
     def remove(self, view: AgentView, task_id: TaskId) -> Run:
-        """Take a run that is over out of the account."""
+        """Remove an ended run and release its resources."""
         run = view.run_by_task.pop(task_id)
         if view.room is not None:
             view.room.release(run.demand)
         return run
 
     def drop(self, view: AgentView, task_id: TaskId, reason: str) -> None:
-        """A run is over, or never was, and its end is not listed."""
+        """Remove a run that ended without a reported end or never existed."""
         run = self.remove(view, task_id)
         log_event(
             'run_gone',
@@ -87,7 +87,7 @@
             agent=view.name,
             reason=reason,
         )
-        found = self._books.find(task_id)
+        found = self._term_state.find(task_id)
         if found is not None:
             plan, task = found
             if reason in _SUSPICIOUS_REASONS:
@@ -95,12 +95,12 @@
             plan.note_gone(task)
 
     def drop_all(self, view: AgentView, reason: str) -> None:
-        """All runs of an upstream are over."""
+        """Drop all runs of an upstream."""
         for task_id in list(view.run_by_task):
             self.drop(view, task_id, reason)
 
     def stop(self, view: AgentView, task_id: TaskId) -> None:
-        """Order a run's stop, once; the account is kept until it is over."""
+        """Order a run's stop once; it occupies resources until it ends."""
         run = view.run_by_task.get(task_id)
         if run is None or run.is_stopping:
             return
@@ -108,10 +108,10 @@
         self._send_stop(view, run)
 
     def repeat_stops(self, view: AgentView) -> None:
-        """Order stops again that may have been lost with an earlier link."""
+        """Repeat stop orders that may have been lost with an earlier link."""
         for run in view.run_by_task.values():
-            is_wanted = self._books.find(run.task) is not None
-            if not is_wanted and not self._books.orphans.expects(
+            is_wanted = self._term_state.find(run.task) is not None
+            if not is_wanted and not self._term_state.orphans.has_job(
                 run.task.job_id
             ):
                 run.is_stopping = True
@@ -127,7 +127,7 @@
         if view.connection is None:
             return
         rows = (RunRow(run.task, run.number, True),)
-        view.connection.send(StopRuns(self._books.term, rows))
+        view.connection.send(StopRuns(self._term_state.term, rows))
         log_event(
             'run_stop_ordered',
             job=run.task.job_id,
--- a/baobabgap/dispatch/_scheduler.py
+++ b/baobabgap/dispatch/_scheduler.py
@@ -1,7 +1,7 @@
-"""The leader's scheduler: one task that owns all volatile state.
+"""The leader's scheduler: a single task that owns all volatile state.
 
-Everything that happens is put into one queue; the task drains it, then
-looks once at which tasks can start. So a burst of events costs one look.
+All events go through one queue. The task drains it and then plans starts
+once, so that a burst of events costs a single planning pass.
 """
 
 from collections.abc import Callable
@@ -13,13 +13,11 @@
 from typing import Final
 
 from baobabgap.accepted import AcceptedState
-from baobabgap.dispatch._agent_desk import AgentDesk
+from baobabgap.dispatch._agent_handler import AgentHandler
 from baobabgap.dispatch._agent_view import AgentView
-from baobabgap.dispatch._books import Books
-from baobabgap.dispatch._call_desk import CallDesk
-from baobabgap.dispatch._closing import JobCloser
+from baobabgap.dispatch._call_handler import CallHandler
 from baobabgap.dispatch._committer import Committer
-from baobabgap.dispatch._entry_desk import EntryDesk
+from baobabgap.dispatch._entry_registry import EntryRegistry
 from baobabgap.dispatch._events import AgentLinked
 from baobabgap.dispatch._events import AgentReported
 from baobabgap.dispatch._events import AgentUnlinked
@@ -31,33 +29,35 @@
 from baobabgap.dispatch._events import EntryUnlinked
 from baobabgap.dispatch._events import Event
 from baobabgap.dispatch._events import JobsStored
-from baobabgap.dispatch._events import Led
+from baobabgap.dispatch._events import LeadershipGained
+from baobabgap.dispatch._events import LeadershipLost
 from baobabgap.dispatch._events import MembersEnrolled
-from baobabgap.dispatch._events import StoodDown
+from baobabgap.dispatch._job_closer import JobCloser
 from baobabgap.dispatch._messages import CallOutcome
 from baobabgap.dispatch._replies import answer
 from baobabgap.dispatch._replies import answer_unavailable
 from baobabgap.dispatch._roles import AGENT_ROLE
-from baobabgap.dispatch._run_book import RunBook
+from baobabgap.dispatch._run_tracker import RunTracker
 from baobabgap.dispatch._starter import TaskStarter
 from baobabgap.dispatch._takeover import Takeover
+from baobabgap.dispatch._term_state import TermState
+from baobabgap.dispatch._timeout_monitor import TimeoutMonitor
 from baobabgap.dispatch._timing import boot_time
 from baobabgap.dispatch._timing import LeaseTiming
-from baobabgap.dispatch._watch import Watch
 from baobabgap.queues import QueueTable
 from baobabgap.scheduling import JobPlan
 from baobabgap.telemetry import log_event
 from baobabgap.telemetry import Metrics
 
-# Seconds between looks at what only the clock changes.
-_TICK_S: Final = 0.05
+# Seconds between checks of timeouts.
+_CHECK_INTERVAL_S: Final = 0.05
 
 
 class Scheduler:
-    """Answers calls, places tasks and follows their runs, as the leader.
+    """Answers calls, places tasks and tracks their runs, as the leader.
 
-    `tell` may be called by any task; everything else runs in the
-    scheduler's own.
+    `post_event`, `use_queue_table` and `stop` may be called by any task;
+    everything else runs in the scheduler's task.
     """
 
     def __init__(
@@ -71,131 +71,149 @@
         metrics: Metrics,
     ) -> None:
         self._timing: Final = timing
-        # Whether a majority has confirmed lately that this host leads.
+        # Whether a majority has recently confirmed that this host leads.
         self._is_confirmed: Final = is_confirmed
-        # Called when this host must begin to lead anew.
+        # Called when this host has to restart its term.
         self._on_failure: Final = on_failure
-        self._look_at = 0.0
+        self._next_check_at = 0.0
         self._events: SimpleQueue[Event] = SimpleQueue()
         self._stopping = threading.Event()
-        self._books = books = Books()
-        runs = RunBook(books)
-        self._closer = JobCloser(books, runs, committer, self.tell, metrics)
-        self._calls = CallDesk(
-            books, runs, self._closer, state, committer, self.tell, metrics
+        self._term_state = term_state = TermState()
+        runs = RunTracker(term_state)
+        self._closer = JobCloser(
+            term_state, runs, committer, self.post_event, metrics
         )
-        self._agents = AgentDesk(
-            books, runs, self._closer, state, committer, timing, self.tell
+        self._calls = CallHandler(
+            term_state,
+            runs,
+            self._closer,
+            state,
+            committer,
+            self.post_event,
+            metrics,
+        )
+        self._agents = AgentHandler(
+            term_state,
+            runs,
+            self._closer,
+            state,
+            committer,
+            timing,
+            self.post_event,
+        )
+        self._entries = EntryRegistry(term_state, state, committer)
+        self._timeout_monitor = TimeoutMonitor(
+            term_state, runs, self._agents, timing
+        )
+        self._starter = TaskStarter(
+            term_state, runs, far_factor, timing, metrics
         )
-        self._entries = EntryDesk(books, state, committer)
-        self._watch = Watch(books, runs, self._agents, timing)
-        self._starter = TaskStarter(books, runs, far_factor, timing, metrics)
 
-    def tell(self, event: Event) -> None:
-        """Hand over what has happened."""
+    def post_event(self, event: Event) -> None:
+        """Queue an event."""
         self._events.put(event)
 
-    def put_in_force(self, table: QueueTable) -> None:
-        """Use a newer configuration from now on."""
-        self._books.table = table
+    def use_queue_table(self, table: QueueTable) -> None:
+        """Use the queues of a newer configuration."""
+        self._term_state.queue_table = table
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop the task."""
         self._stopping.set()
 
     def run(self) -> None:
-        """Work until stopped."""
+        """Process events until stopped."""
         while not self._stopping.is_set():
             try:
-                self._work()
+                self._run_once()
             except Exception as error:
-                # What is in memory may be wrong now; a leader that begins
-                # anew learns it from the log and the agents.
+                # The state in memory may be inconsistent; it is rebuilt
+                # from the log and the agents' reports.
                 log_event(
                     'scheduler:failed',
                     error=repr(error),
                     trace=traceback.format_exc(limit=-6),
                 )
-                self._stand_down()
+                self._step_down()
                 self._on_failure()
 
-    def _work(self) -> None:
-        self._take_events()
-        if not self._books.term:
+    def _run_once(self) -> None:
+        self._handle_events()
+        if not self._term_state.term:
             return
         self._closer.store()
         if not self._is_confirmed():
             return
         now = time.monotonic()
-        is_look_due = now >= self._look_at
-        if is_look_due:
-            self._look_at = now + _TICK_S
-            self._watch.look(now)
-            self._entries.look(now)
+        is_check_due = now >= self._next_check_at
+        if is_check_due:
+            self._next_check_at = now + _CHECK_INTERVAL_S
+            self._timeout_monitor.check(now)
+            self._entries.check(now)
         self._starter.start()
-        if is_look_due:
-            # Only what found no room: estimates are rough.
-            self._calls.give_up_worthless(now)
+        if is_check_due:
+            # Refuse only jobs that found no room, as estimates are rough.
+            self._calls.refuse_late_jobs(now)
 
-    def _take_events(self) -> None:
+    def _handle_events(self) -> None:
         try:
-            event = self._events.get(timeout=_TICK_S)
+            event = self._events.get(timeout=_CHECK_INTERVAL_S)
             while True:
-                self._take(event)
+                self._handle(event)
                 event = self._events.get_nowait()
         except Empty:
             return
 
-    def _take(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         match event:
-            case Led():
-                self._lead(event)
-            case StoodDown():
-                self._stand_down()
+            case LeadershipGained():
+                self._begin_term(event)
+            case LeadershipLost():
+                self._step_down()
             case CallArrived():
-                self._take_call(event)
-            case _ if self._books.term:
-                self._take_as_leader(event)
+                self._handle_call(event)
+            case _ if self._term_state.term:
+                self._handle_as_leader(event)
 
-    def _take_as_leader(self, event: Event) -> None:
+    def _handle_as_leader(self, event: Event) -> None:
         match event:
             case CallDropped():
-                self._calls.take_dropped(event)
+                self._calls.handle_dropped_call(event)
             case JobsStored():
-                self._calls.take_stored_jobs(event)
+                self._calls.handle_stored_jobs(event)
             case CancelStored():
-                self._calls.take_stored_cancel(event)
+                self._calls.handle_stored_cancel(event)
             case EndsStored():
-                self._closer.take_stored(event)
+                self._closer.handle_stored(event)
             case EntryLinked():
-                self._entries.take_link(event)
+                self._entries.handle_link(event)
             case EntryUnlinked():
-                self._entries.take_lost_link(event)
+                self._entries.handle_lost_link(event)
             case _:
-                self._take_of_agent(event)
+                self._handle_agent_event(event)
 
-    def _take_of_agent(self, event: Event) -> None:
+    def _handle_agent_event(self, event: Event) -> None:
         match event:
             case AgentReported(connection=connection, message=message):
-                self._agents.take(connection, message, self._is_confirmed())
+                self._agents.handle(connection, message, self._is_confirmed())
             case AgentLinked(connection=connection):
-                self._agents.take_link(connection)
+                self._agents.handle_link(connection)
             case AgentUnlinked(connection=connection):
-                self._agents.take_lost_link(connection)
+                self._agents.handle_lost_link(connection)
             case MembersEnrolled():
-                self._agents.take_enrolled(event)
+                self._agents.handle_enrolled(event)
 
-    def _take_call(self, event: CallArrived) -> None:
-        if self._books.term and self._is_confirmed():
-            self._calls.take(event)
+    def _handle_call(self, event: CallArrived) -> None:
+        if self._term_state.term and self._is_confirmed():
+            self._calls.handle(event)
         else:
             answer_unavailable(event, 'this host does not lead')
 
-    def _lead(self, event: Led) -> None:
+    def _begin_term(self, event: LeadershipGained) -> None:
         now = time.monotonic()
-        books = self._books
+        term_state = self._term_state
         ends_at = now + self._timing.takeover_s
-        books.open_term(
+        term_state.begin_term(
             event.term, Takeover(event.term, event.members, ends_at)
         )
         self._closer.reset()
@@ -205,10 +223,12 @@
             if member.startswith(prefix):
                 view = AgentView(member.removeprefix(prefix), is_enrolled=True)
                 view.authority_granted_at = boot_time()
-                books.view_by_name[view.name] = view
+                term_state.view_by_name[view.name] = view
         for unfinished in event.unfinished:
-            plan = JobPlan.from_unfinished(unfinished, now, books.run_times)
-            books.plan_by_id[unfinished.job.job_id] = plan
+            plan = JobPlan.from_unfinished(
+                unfinished, now, term_state.run_times
+            )
+            term_state.plan_by_id[unfinished.job.job_id] = plan
         log_event(
             'scheduler:leads',
             term=event.term,
@@ -216,15 +236,15 @@
             members=event.members,
         )
 
-    def _stand_down(self) -> None:
-        books = self._books
-        waiting = books.waiting_calls()
+    def _step_down(self) -> None:
+        term_state = self._term_state
+        waiting = term_state.waiting_calls()
         log_event(
             'scheduler:stood_down',
-            term=books.term,
-            jobs=len(books.plan_by_id),
+            term=term_state.term,
+            jobs=len(term_state.plan_by_id),
             calls=len(waiting),
         )
-        books.open_term(0, Takeover.none())
+        term_state.begin_term(0, Takeover.none())
         for call in waiting:
             answer(call, CallOutcome.UNKNOWN, detail='leader changed')
--- a/baobabgap/dispatch/_starter.py
+++ b/baobabgap/dispatch/_starter.py
@@ -1,4 +1,4 @@
-"""Ordering starts of the tasks that wait."""
+"""Start orders for waiting tasks."""
 
 from collections import defaultdict
 import time
@@ -6,11 +6,11 @@
 
 from baobabgap.accepted import AcceptedJob
 from baobabgap.dispatch._agent_view import AgentView
-from baobabgap.dispatch._books import Books
 from baobabgap.dispatch._messages import RunOrder
 from baobabgap.dispatch._messages import StartRuns
-from baobabgap.dispatch._run_book import RunBook
-from baobabgap.dispatch._run_book import task_text
+from baobabgap.dispatch._run_tracker import RunTracker
+from baobabgap.dispatch._run_tracker import task_text
+from baobabgap.dispatch._term_state import TermState
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.scheduling import JobPlan
 from baobabgap.scheduling import Placement
@@ -20,43 +20,43 @@
 from baobabgap.telemetry import log_event
 from baobabgap.telemetry import Metrics
 
-# Run numbers of a later term begin this far above those of an earlier
-# one, so that a new leader need not know what the earlier one gave out.
+# Offset between the run numbers of consecutive terms, so that a new leader
+# needn't know which numbers its predecessor assigned.
 _RUNS_PER_TERM: Final = 1000
 
 
 class TaskStarter:
-    """Has the planner choose, and sends the orders to the agents."""
+    """Sends start orders to agents for the placements that are planned."""
 
     def __init__(
         self,
-        books: Books,
-        runs: RunBook,
+        term_state: TermState,
+        runs: RunTracker,
         far_factor: float,
         timing: LeaseTiming,
         metrics: Metrics,
     ) -> None:
-        self._books: Final = books
+        self._term_state: Final = term_state
         self._runs: Final = runs
         self._far_factor: Final = far_factor
-        # What is left of an older authority may be too short for a lease.
+        # The rest of an older authority may be too short for a lease.
         self._authority_s: Final = timing.authority_s - timing.longest_lease_s
         self._metrics: Final = metrics
 
     def start(self) -> None:
-        """Start what can start, as the confirmed leader."""
-        books = self._books
+        """Start all tasks that can start; called by the confirmed leader."""
+        term_state = self._term_state
         plans = [
             plan
-            for job_id, plan in books.plan_by_id.items()
+            for job_id, plan in term_state.plan_by_id.items()
             if plan.has_waiting
-            and job_id not in books.cancelling_by_id
-            and books.takeover.may_start(plan.job)
+            and job_id not in term_state.cancelling_by_id
+            and term_state.takeover.may_start(plan.job)
         ]
         if not plans:
             return
         rooms_by_service: dict[str, list[Room]] = defaultdict(list)
-        for view in books.view_by_name.values():
+        for view in term_state.view_by_name.values():
             if view.room and view.may_start(self._authority_s):
                 rooms_by_service[view.room.service].append(view.room)
         placements = plan_starts(
@@ -70,7 +70,7 @@
         runs_by_job: dict[str, list[str]] = defaultdict(list)
         for placement in placements:
             plan, task, room = placement.plan, placement.task, placement.room
-            view = self._books.view_by_name[room.name]
+            view = self._term_state.view_by_name[room.name]
             number = self._next_run(plan.job, task)
             self._runs.add(view, plan, task, number)
             orders_by_agent[room.name].append(
@@ -80,16 +80,16 @@
                 f'{task_text(task.task)}#{number}@{room.name}'
             )
         for name, orders in orders_by_agent.items():
-            self._send(self._books.view_by_name[name], tuple(orders))
+            self._send(self._term_state.view_by_name[name], tuple(orders))
         for job_id, runs in runs_by_job.items():
-            self._log(self._books.plan_by_id[job_id], runs)
+            self._log(self._term_state.plan_by_id[job_id], runs)
 
     def _send(self, view: AgentView, orders: tuple[RunOrder, ...]) -> None:
         assert view.connection is not None and view.upstream is not None
         self._metrics.count('baobabgap_starts_total', len(orders))
         view.connection.send(
             StartRuns(
-                self._books.term,
+                self._term_state.term,
                 view.upstream.instance,
                 view.upstream.born_ms,
                 orders,
@@ -104,9 +104,9 @@
             job=plan.job.job_id,
             runs=runs,
             waited_ms=round(1000 * waited_s),
-            term=self._books.term,
+            term=self._term_state.term,
         )
 
     def _next_run(self, job: AcceptedJob, task: PlannedTask) -> int:
-        terms = max(0, self._books.term - job.term)
+        terms = max(0, self._term_state.term - job.term)
         return max(1 + _RUNS_PER_TERM * terms, task.last_run + 1)
--- a/baobabgap/dispatch/_books.py
+++ b/baobabgap/dispatch/_term_state.py
@@ -1,4 +1,4 @@
-"""What the leader knows and keeps in memory only, for one term."""
+"""State of the leader that is held in memory, for one term."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -19,57 +19,57 @@
 from baobabgap.scheduling import Room
 from baobabgap.scheduling import RunTimes
 
-# Seconds after an election in which agents that an earlier leader knew, and
-# their upstreams, are expected back: a start of the process, a dial, a report.
-_RETURN_S: Final = 1.0
-# Seconds for which a look at the waiting work is good for decisions: a small
-# part of the shortest objectives.
-_BACKLOG_AGE_S: Final = 0.02
+# Seconds after an election within which agents known to an earlier leader, and
+# their upstreams, are expected to reconnect: process start, dial and report.
+_AGENT_RETURN_S: Final = 1.0
+# Seconds for which a computed backlog is used for decisions; a small part of
+# the shortest objectives.
+_BACKLOG_MAX_AGE_S: Final = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class EndedJob:
-    """How a volatile job ended, and when, on the scheduler's clock."""
+    """Final state of a volatile job; `ended_at` is on the monotonic clock."""
 
     state: JobState
     ended_at: float
 
 
-class Books:
-    """The jobs, agents and callers of the present term.
+class TermState:
+    """The jobs, agents and callers of the current term.
 
-    Only the scheduler's task reads and writes them.
+    Accessed by the scheduler's task only.
     """
 
     def __init__(self) -> None:
-        # Both outlive a term.
-        self.table: QueueTable | None = None
+        # Both are kept across terms.
+        self.queue_table: QueueTable | None = None
         self.run_times = RunTimes()
-        self.open_term(0, Takeover.none())
+        self.begin_term(0, Takeover.none())
 
-    def open_term(self, term: int, takeover: Takeover) -> None:
-        """Begin anew; term 0 means that this host doesn't lead."""
+    def begin_term(self, term: int, takeover: Takeover) -> None:
+        """Reset for a new term; term 0 means that this host doesn't lead."""
         self.term = term
         self.takeover = takeover
-        self._opened_at = time.monotonic()
+        self._began_at = time.monotonic()
         self._backlog_by_service: dict[str, Backlog] = {}
         self.plan_by_id: dict[str, JobPlan] = {}
-        # Jobs whose acceptance is not durable yet, with who waits for it.
+        # Jobs whose acceptance is not durable yet, with the calls to answer.
         self.storing_by_id: dict[str, tuple[JobPlan, list[CallArrived]]] = {}
         self.cancelling_by_id: dict[str, list[CallArrived]] = {}
-        # Who waits for the end of a volatile job.
+        # Calls that wait for the end of a volatile job.
         self.callers_by_id: dict[str, list[CallArrived]] = {}
-        # Volatile jobs that ended lately, for callers that ask again.
+        # Volatile jobs that ended recently, for callers that retry.
         self.ended_by_id: dict[str, EndedJob] = {}
-        # Reads that wait until a job's last end is durable.
+        # Reads that wait until the last end of a job's runs is durable.
         self.readers_by_id: dict[str, list[CallArrived]] = defaultdict(list)
-        # Runs and ends of jobs that nobody has handed in to this leader
-        # yet: its predecessor may have had them.
+        # Runs and ends of jobs that have not been submitted to this leader
+        # but may have been to its predecessor.
         self.orphans = Orphans()
         self.view_by_name: dict[str, AgentView] = {}
 
     def waiting_calls(self) -> list[CallArrived]:
-        """Return all calls that have not been answered."""
+        """Return all unanswered calls."""
         groups = [
             *(calls for _, calls in self.storing_by_id.values()),
             *self.cancelling_by_id.values(),
@@ -79,13 +79,13 @@
         return [call for calls in groups for call in calls]
 
     def find(self, task_id: TaskId) -> tuple[JobPlan, PlannedTask] | None:
-        """Return a task that is still to be done, with its job."""
+        """Return an unfinished task with its job, or None."""
         plan = self.plan_by_id.get(task_id.job_id)
         task = plan.task_by_id.get(task_id) if plan else None
         return (plan, task) if plan and task else None
 
     def rooms_of(self, service: str) -> list[Room]:
-        """Return the upstreams of a service, open or not."""
+        """Return the upstreams of a service, open to new runs or not."""
         return [
             view.room
             for view in self.view_by_name.values()
@@ -93,12 +93,12 @@
         ]
 
     def returning_upstreams(self, service: str, now: float) -> int:
-        """Return how many upstreams of a service should be back at once.
+        """Return how many upstreams of a service should reconnect soon.
 
-        An earlier leader knew their agents; of which service they are is
-        only guessed, from those that are back.
+        Their agents were known to an earlier leader. How many belong to the
+        service is estimated from the share among the reconnected ones.
         """
-        if now - self._opened_at > _RETURN_S:
+        if now - self._began_at > _AGENT_RETURN_S:
             return 0
         rooms = [
             view.room
@@ -106,16 +106,16 @@
             if view.room is not None
         ]
         missing = len(self.view_by_name) - len(rooms)
-        own = sum(1 for room in rooms if room.service == service)
-        return missing * own // max(1, len(rooms))
+        known_of_service = sum(1 for room in rooms if room.service == service)
+        return missing * known_of_service // max(1, len(rooms))
 
     def backlog(self, service: str, now: float) -> Backlog:
-        """Return the work that waits in a service and could start."""
-        held = self._backlog_by_service.get(service)
-        if held is None or now - held.looked_at > _BACKLOG_AGE_S:
-            held = Backlog.from_plans(self._waiting_plans(service), now)
-            self._backlog_by_service[service] = held
-        return held
+        """Return the work of a service that is waiting and may start."""
+        backlog = self._backlog_by_service.get(service)
+        if backlog is None or now - backlog.looked_at > _BACKLOG_MAX_AGE_S:
+            backlog = Backlog.from_plans(self._waiting_plans(service), now)
+            self._backlog_by_service[service] = backlog
+        return backlog
 
     def _waiting_plans(self, service: str) -> Iterator[JobPlan]:
         plans = [
--- a/baobabgap/dispatch/_watch.py
+++ b/baobabgap/dispatch/_timeout_monitor.py
@@ -1,77 +1,77 @@
-"""What only the passing of time changes: lapsed leases, overdue runs."""
+"""Expiry of leases, overdue runs and kept results."""
 
 import time
 from typing import Final
 
-from baobabgap.dispatch._agent_desk import AgentDesk
+from baobabgap.dispatch._agent_handler import AgentHandler
 from baobabgap.dispatch._agent_view import AgentView
 from baobabgap.dispatch._agent_view import Run
-from baobabgap.dispatch._books import Books
-from baobabgap.dispatch._run_book import RunBook
-from baobabgap.dispatch._run_book import task_text
+from baobabgap.dispatch._run_tracker import RunTracker
+from baobabgap.dispatch._run_tracker import task_text
+from baobabgap.dispatch._term_state import TermState
 from baobabgap.dispatch._timing import boot_time
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.scheduling import is_overdue
 from baobabgap.scheduling import PlannedTask
 from baobabgap.telemetry import log_event
 
-# Seconds for which the end of a volatile job is kept: its caller hands it
-# in again within a few seconds if the answer was lost.
-_KEPT_ENDED_S: Final = 10.0
+# Seconds for which the end of a volatile job is kept: its caller submits it
+# again within a few seconds if the answer was lost.
+_ENDED_JOB_RETENTION_S: Final = 10.0
 
 
-class Watch:
-    """Looks at everything that may have run out, a few times a second."""
+class TimeoutMonitor:
+    """Checks all timeouts several times a second."""
 
     def __init__(
         self,
-        books: Books,
-        runs: RunBook,
-        agents: AgentDesk,
+        term_state: TermState,
+        runs: RunTracker,
+        agents: AgentHandler,
         timing: LeaseTiming,
     ) -> None:
-        self._books: Final = books
+        self._term_state: Final = term_state
         self._runs: Final = runs
         self._agents: Final = agents
         self._timing: Final = timing
 
-    def look(self, now: float) -> None:
-        """Look once, as the confirmed leader."""
-        books = self._books
-        for agent, row in books.orphans.expire(now):
-            view = books.view_by_name.get(agent)
+    def check(self, now: float) -> None:
+        """Check all timeouts once; called by the confirmed leader."""
+        term_state = self._term_state
+        for agent, row in term_state.orphans.expire(now):
+            view = term_state.view_by_name.get(agent)
             if view is not None:
                 self._runs.stop(view, row.task)
         self._forget_ended(now)
-        for view in list(books.view_by_name.values()):
+        for view in list(term_state.view_by_name.values()):
             if view.connection is None:
-                self._look_at_silent(view)
+                self._check_unlinked(view)
             else:
-                self._look_at_linked(view, now)
+                self._check_linked(view, now)
 
     def _forget_ended(self, now: float) -> None:
-        ended_by_id = self._books.ended_by_id
+        ended_by_id = self._term_state.ended_by_id
         for job_id in list(ended_by_id):
-            if now - ended_by_id[job_id].ended_at < _KEPT_ENDED_S:
+            if now - ended_by_id[job_id].ended_at < _ENDED_JOB_RETENTION_S:
                 return
             del ended_by_id[job_id]
 
-    def _look_at_silent(self, view: AgentView) -> None:
-        silent_s = boot_time() - view.authority_granted_at
-        if silent_s > self._timing.lapse_s:
+    def _check_unlinked(self, view: AgentView) -> None:
+        since_grant_s = boot_time() - view.authority_granted_at
+        if since_grant_s > self._timing.lapse_s:
             self._runs.drop_all(view, 'lease lapsed')
-            self._books.takeover.hear_agent(view.name)
-            # So that no later takeover waits for it.
+            self._term_state.takeover.note_agent_report(view.name)
+            # Later takeovers needn't wait for it.
             self._agents.dismiss(view)
-            del self._books.view_by_name[view.name]
+            del self._term_state.view_by_name[view.name]
 
-    def _look_at_linked(self, view: AgentView, now: float) -> None:
+    def _check_linked(self, view: AgentView, now: float) -> None:
         if view.room is not None:
-            view.room.kind_slowness = self._books.run_times.slowness(
+            view.room.kind_slowness = self._term_state.run_times.slowness(
                 view.room.kind
             )
         for run in list(view.run_by_task.values()):
-            plan = self._books.plan_by_id.get(run.task.job_id)
+            plan = self._term_state.plan_by_id.get(run.task.job_id)
             if plan is None or run.is_stopping:
                 continue
             run_s = now - run.started_at
@@ -82,12 +82,12 @@
                 plan.longest_done_s[run.task.step],
                 task.overdue_runs,
             ):
-                self._replace(view, run, task, run_s)
+                self._stop_overdue(view, run, task, run_s)
 
-    def _replace(
+    def _stop_overdue(
         self, view: AgentView, run: Run, task: PlannedTask, run_s: float
     ) -> None:
-        """Stop a run that hangs, so that its task runs elsewhere."""
+        """Stop an overdue run, so that its task is started elsewhere."""
         task.avoided.add(view.name)
         task.overdue_runs += 1
         room = view.room
--- a/baobabgap/dispatch/_timing.py
+++ b/baobabgap/dispatch/_timing.py
@@ -1,44 +1,44 @@
-"""Durations that the leader and the agents must agree on."""
+"""Lease durations shared by the leader and the agents."""
 
 from dataclasses import dataclass
 import time
 from typing import Final
 
-# How much slower than real time an upstream's clock may go.
+# The fraction by which an upstream's clock may be slower than real time.
 CLOCK_DRIFT: Final = 0.02
 
 
 def boot_time() -> float:
-    """Return seconds on a clock that counts suspended time too."""
+    """Return seconds on a clock that includes time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """How long permissions last, in seconds."""
+    """Durations of leases and of the authority to renew them, seconds."""
 
-    # The longest lease that an upstream takes.
+    # The longest lease that an upstream accepts.
     longest_lease_s: float = 1.0
-    # An agent may renew its upstream's lease for this long without a word
-    # from a leader: longer than a restart of the whole control group, so
-    # that no change of leader interrupts a task.
+    # How long an agent may renew its upstream's lease without hearing from
+    # a leader. Longer than a restart of the whole control group, so that a
+    # change of leader doesn't interrupt tasks.
     authority_s: float = 4.0
-    # A leader may grant authority for this long after a majority has
-    # confirmed it.
+    # How long a leader may grant authority after a majority has confirmed
+    # that it leads.
     confirmation_s: float = 0.4
-    # What an upstream takes to stop runs whose lease has lapsed.
+    # The time that an upstream needs to stop runs whose lease has lapsed.
     stop_s: float = 0.05
 
     @property
     def lapse_s(self) -> float:
-        """Seconds after which authority granted now has surely lapsed."""
+        """Seconds after which authority granted now has certainly lapsed."""
         return self.authority_s * (1 + CLOCK_DRIFT) + 2 * self.stop_s
 
     @property
     def takeover_s(self) -> float:
-        """Seconds after which nothing granted by earlier leaders holds.
+        """Seconds after which all grants of earlier leaders have lapsed.
 
-        An earlier leader may grant until its last confirmation is too old,
-        which is at most `confirmation_s` after the election.
+        An earlier leader may grant authority until its last confirmation
+        expires, at most `confirmation_s` after the election.
         """
         return self.confirmation_s + self.lapse_s
--- a/baobabgap/dispatch/tests/deployment.py
+++ b/baobabgap/dispatch/tests/deployment.py
@@ -1,4 +1,4 @@
-"""Control nodes, agents and an entry in one process, over real links."""
+"""A deployment in one process: control nodes, agents and an entry."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -49,7 +49,7 @@
 
 
 def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Wait, within a limit, until a condition holds."""
+    """Wait until a condition holds, for at most `WAIT_S` seconds."""
     give_up_at = time.monotonic() + WAIT_S
     while not condition():
         if time.monotonic() > give_up_at:
@@ -71,7 +71,7 @@
 
 
 class Deployment:
-    """Starts everything; `close` stops what still runs."""
+    """A deployment whose parts are connected by real links."""
 
     def __init__(self, folder: Path, controls: int, agents: int) -> None:
         self.pool = ThreadPoolExecutor(512)
@@ -91,21 +91,21 @@
             self._links.append(
                 self._link(f'agent-{number}', AGENT_ROLE, agent.session)
             )
-            agent.announce(self.described(number))
+            agent.announce(self.announced_state(number))
 
     def start(self) -> None:
-        """Start all and put a first configuration in force."""
+        """Start all parts and put a first configuration in force."""
         for node in self.nodes:
             node.start()
         for agent in self.agents:
             agent.start()
         for link in self._links:
             link.start()
-        self.put(1)
+        self.put_configuration(1)
         wait_until(lambda: self.calls.is_linked, 'a link to the leader')
 
     def close(self) -> None:
-        """Stop everything."""
+        """Stop all parts."""
         for link in self._links:
             link.stop()
         for agent in self.agents:
@@ -122,14 +122,14 @@
                 return node
         return None
 
-    def put(self, version: int) -> None:
+    def put_configuration(self, version: int) -> None:
         """Put a configuration in force."""
         wait_until(lambda: self.leader is not None, 'a leader')
         assert self.leader is not None
         self.leader.put_configuration(configuration(version)).result(WAIT_S)
 
-    def described(self, number: int) -> UpstreamState:
-        """Return what an upstream says of itself."""
+    def announced_state(self, number: int) -> UpstreamState:
+        """Return the state that an upstream announces."""
         return describe_upstream(number, self.upstreams[number].born_ms, CORES)
 
     def submit(
@@ -139,7 +139,7 @@
         volatile: bool,
         patience_s: float = WAIT_S,
     ) -> Future[CallAnswer]:
-        """Hand a job in; the future brings the answer."""
+        """Submit a job; the future returns the answer."""
         call = SubmitJob(
             0, QUEUE_HOST, PREFIX + job_id, 'payload', steps, volatile
         )
@@ -181,7 +181,7 @@
 
 
 def describe_upstream(number: int, born_ms: int, cores: int) -> UpstreamState:
-    """Return what an upstream says of itself."""
+    """Return the state that an upstream announces."""
     return UpstreamState(
         f'upstream-{number}',
         born_ms,
@@ -201,13 +201,13 @@
     pool: ThreadPoolExecutor,
     addresses: tuple[str, ...],
 ) -> LeaderLink:
-    """Build a member's link, not started yet, to any of the hosts."""
+    """Return a member's link to the leader, not started yet."""
     hello = Hello(name, role, uuid.uuid4().hex[:16])
     return LeaderLink(lambda: hello, TIMING, pool, lambda: addresses, session)
 
 
 def free_port() -> int:
-    """Return a port that was free a moment ago."""
+    """Return a port that is currently free."""
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         return int(probe.getsockname()[1])
--- a/baobabgap/dispatch/tests/fake_upstream.py
+++ b/baobabgap/dispatch/tests/fake_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream in memory that runs tasks by waiting, with faults."""
+"""An in-memory upstream with simulated run times and faults."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,32 +19,32 @@
 
 @dataclass(slots=True)
 class FakeRun:
-    """A run, and when it is done by the upstream's clock."""
+    """A run and its end on the upstream's clock."""
 
     run: int
     done_at_ms: int
 
 
 class FakeUpstream:
-    """Implements `UpstreamClient`; `starts` lists all that ever began."""
+    """Implements `UpstreamClient`; `starts` lists all runs ever started."""
 
     def __init__(self, born_ms: int = 1, run_ms: int = 30) -> None:
         self.born_ms = born_ms
         self.run_ms = run_ms
-        # Called for each start; what it returns is not answered if true.
+        # Called for each start, which is left unanswered if it returns true.
         self.leaves_unanswered: Callable[[RunOrder], bool] = lambda _: False
-        # Whether runs end as failed.
+        # Whether runs fail.
         self.fails = False
-        # Whether no call gets an answer.
+        # Whether `hold` requests get no answer.
         self.is_silent = False
-        # What the last look was willing to wait for an end, milliseconds.
+        # The longest wait of the last `hold` request, milliseconds.
         self.last_wait_ms = 0
         self.starts: list[tuple[TaskId, int]] = []
         self._lock = threading.Condition()
         self._begin_life()
 
     def restart(self, born_ms: int) -> None:
-        """Begin another life, which knows nothing of the earlier one."""
+        """Start a new instance without the state of the earlier one."""
         with self._lock:
             self.born_ms = born_ms
             self.starts = []
@@ -62,12 +62,12 @@
 
     @property
     def clock_ms(self) -> int:
-        """The upstream's own steady clock."""
+        """The upstream's monotonic clock, milliseconds."""
         return 1 + int(1000 * (time.monotonic() - self._began_at))
 
     @property
     def running(self) -> set[TaskId]:
-        """What runs now."""
+        """The tasks that are running."""
         with self._lock:
             self._advance()
             return set(self._running)
--- a/baobabgap/dispatch/tests/test_dispatch.py
+++ b/baobabgap/dispatch/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The whole path of jobs, over real links, with upstreams in memory."""
+"""End-to-end tests over real links with in-memory upstreams."""
 
 from pathlib import Path
 import tempfile
@@ -13,7 +13,7 @@
 from baobabgap.dispatch.tests.deployment import WAIT_S
 from baobabgap.dispatch.tests.deployment import wait_until
 
-# Longer than any task of these tests takes, seconds.
+# Seconds; longer than any task of these tests takes.
 _LONG_PATIENCE_S: Final = 120.0
 
 
@@ -52,7 +52,7 @@
             {task for task, _ in self.starts()},
         )
 
-    def test_same_volatile_job_again_runs_once(self) -> None:
+    def test_resubmitted_volatile_job_runs_once(self) -> None:
         first = self.deployment.submit('a', step(2), volatile=True)
         second = self.deployment.submit('a', step(2), volatile=True)
         self.assertEqual('completed', first.result(WAIT_S).state)
@@ -73,7 +73,7 @@
         )
         self.assertEqual(3, len(self.starts()))
 
-    def test_cancel_stops_what_runs_and_starts_nothing_more(self) -> None:
+    def test_cancel_stops_runs_and_prevents_further_starts(self) -> None:
         deployment = self.deployment
         for upstream in deployment.upstreams:
             upstream.run_ms = 60_000
@@ -110,12 +110,12 @@
         self.assertEqual([1, 2], sorted(run for _, run in self.starts()))
 
     def test_unanswered_start_runs_elsewhere_and_never_twice(self) -> None:
-        """The order is carried out late, after the task has run again."""
-        late: list[RunOrder] = []
+        """The order is executed late, after another run of the task."""
+        unanswered: list[RunOrder] = []
 
         def leave_unanswered(order: RunOrder) -> bool:
-            late.append(order)
-            return len(late) == 1
+            unanswered.append(order)
+            return len(unanswered) == 1
 
         for upstream in self.deployment.upstreams:
             upstream.leaves_unanswered = leave_unanswered
@@ -125,11 +125,11 @@
         self.assertEqual('completed', answer.state)
         self.assertEqual(1, len(self.starts()))
         for upstream in self.deployment.upstreams:
-            upstream.carry_out(late[0], 99, upstream.clock_ms + 500)
-        # Only the upstream that was never asked might take it.
+            upstream.carry_out(unanswered[0], 99, upstream.clock_ms + 500)
+        # Only the upstream without an order so far may start it.
         self.assertLessEqual(len(self.starts()), 2)
 
-    def test_drained_upstream_gets_nothing_new(self) -> None:
+    def test_draining_upstream_gets_no_new_runs(self) -> None:
         deployment = self.deployment
         deployment.agents[0].leave()
         wait_until(lambda: deployment.agents[0].is_idle, 'an idle agent')
@@ -139,12 +139,12 @@
             )
         wait_until(lambda: len(deployment.upstreams[1].starts) >= 4, 'starts')
 
-    def test_new_life_of_an_upstream_runs_its_tasks_again(self) -> None:
+    def test_restarted_upstream_runs_its_tasks_again(self) -> None:
         deployment = self.deployment
         for upstream in deployment.upstreams:
             upstream.run_ms = 60_000
-        # Whoever waits for less time than that is refused at once.
-        asked = deployment.submit(
+        # A job is refused at once if its caller waits for less time.
+        submission = deployment.submit(
             'a', step(8, 60_000), volatile=True, patience_s=_LONG_PATIENCE_S
         )
         wait_until(lambda: len(self.starts()) == 8, 'full upstreams')
@@ -152,13 +152,13 @@
             upstream.run_ms = 30
         crashed = deployment.upstreams[0]
         crashed.restart(born_ms=2)
-        deployment.agents[0].announce(deployment.described(0))
-        wait_until(lambda: len(crashed.starts) >= 4, 'starts anew')
+        deployment.agents[0].announce(deployment.announced_state(0))
+        wait_until(lambda: len(crashed.starts) >= 4, 'repeated starts')
         deployment.cancel('a')
-        self.assertEqual('cancelled', asked.result(WAIT_S).state)
+        self.assertEqual('cancelled', submission.result(WAIT_S).state)
 
-    def test_caller_of_a_job_that_never_began_is_told_so(self) -> None:
-        """Before it stops waiting, so that it may come again."""
+    def test_waiting_job_that_never_began_is_refused(self) -> None:
+        """The refusal arrives while the caller waits, so that it can retry."""
         deployment = self.deployment
         for upstream in deployment.upstreams:
             upstream.run_ms = 60_000
@@ -166,7 +166,7 @@
             'long', step(8, 60_000), volatile=True, patience_s=_LONG_PATIENCE_S
         )
         wait_until(lambda: len(self.starts()) == 8, 'full upstreams')
-        # Its objective would let it wait for much longer.
+        # Its objective alone would permit a much longer wait.
         answer = deployment.submit(
             'a', step(1, 2000), volatile=True, patience_s=4.0
         ).result(WAIT_S)
@@ -174,42 +174,48 @@
         self.assertGreater(answer.retry_after_ms, 0)
         deployment.cancel('long')
 
-    def test_looks_are_short_while_there_is_no_leader(self) -> None:
-        """The next leader waits for reports, which wait for looks."""
+    def test_hold_requests_are_short_without_a_leader(self) -> None:
+        """The next leader needs reports, which follow a `hold` request."""
         deployment = self.deployment
         upstream = deployment.upstreams[0]
-        wait_until(lambda: upstream.last_wait_ms > 100, 'long looks')
+        wait_until(lambda: upstream.last_wait_ms > 100, 'long hold requests')
         for node in deployment.nodes:
             node.stop()
-        wait_until(lambda: 0 < upstream.last_wait_ms <= 50, 'short looks')
+        wait_until(
+            lambda: 0 < upstream.last_wait_ms <= 50, 'short hold requests'
+        )
 
-    def test_configuration_never_goes_back(self) -> None:
-        self.deployment.put(7)
-        self.deployment.put(3)
+    def test_older_configuration_is_ignored(self) -> None:
+        self.deployment.put_configuration(7)
+        self.deployment.put_configuration(3)
         assert self.deployment.leader is not None
-        held = self.deployment.leader.read_configuration().result(WAIT_S)
-        assert held is not None
-        self.assertEqual(7, held.version)
+        stored = self.deployment.leader.read_configuration().result(WAIT_S)
+        assert stored is not None
+        self.assertEqual(7, stored.version)
 
 
 class ThreeControlHostsTest(DispatchTest):
     controls = 3
 
     def test_volatile_job_survives_the_loss_of_the_leader(self) -> None:
-        """Its runs go on meanwhile, and none is started twice."""
+        """Its runs continue meanwhile and no task is started twice."""
         deployment = self.deployment
         for upstream in deployment.upstreams:
             upstream.run_ms = 3000
-        asked = deployment.submit('a', step(8, 3000), volatile=True)
+        submission = deployment.submit('a', step(8, 3000), volatile=True)
         wait_until(lambda: len(self.starts()) == 8, 'full upstreams')
         leader = deployment.leader
         assert leader is not None
         leader.stop()
-        self.assertEqual('completed', asked.result(WAIT_S).state)
+        self.assertEqual('completed', submission.result(WAIT_S).state)
         self.assertEqual(8, len(self.starts()))
 
-    def test_silent_upstream_holds_no_new_leader_up(self) -> None:
-        """Regression: its agent had nothing to report for seconds."""
+    def test_silent_upstream_does_not_delay_a_new_leader(self) -> None:
+        """Regression: the agent of a silent upstream delayed its report.
+
+        The agent had nothing to report for seconds, and the new leader
+        waited for it before it started jobs.
+        """
         deployment = self.deployment
         deployment.submit('a', step(1), volatile=True).result(WAIT_S)
         deployment.upstreams[0].is_silent = True
@@ -217,15 +223,15 @@
         assert leader is not None
         leader.stop()
         wait_until(lambda: deployment.leader not in (None, leader), 'a leader')
-        asked = deployment.submit('b', step(4), volatile=True)
-        self.assertEqual('completed', asked.result(WAIT_S).state)
+        submission = deployment.submit('b', step(4), volatile=True)
+        self.assertEqual('completed', submission.result(WAIT_S).state)
         self.assertEqual(
             {'a', 'b'}, {task.job_id for task, _ in self.starts()}
         )
 
-    def test_stored_job_and_configuration_survive_it(self) -> None:
+    def test_stored_data_survives_the_loss_of_the_leader(self) -> None:
         deployment = self.deployment
-        deployment.put(5)
+        deployment.put_configuration(5)
         for upstream in deployment.upstreams:
             upstream.run_ms = 3000
         deployment.submit('a', step(8, 3000), volatile=False).result(WAIT_S)
@@ -238,9 +244,9 @@
         )
         self.assertEqual(8, len(self.starts()))
         assert deployment.leader is not None
-        held = deployment.leader.read_configuration().result(WAIT_S)
-        assert held is not None
-        self.assertEqual(5, held.version)
+        stored = deployment.leader.read_configuration().result(WAIT_S)
+        assert stored is not None
+        self.assertEqual(5, stored.version)
 
 
 if __name__ == '__main__':
--- a/baobabgap/dispatch/tests/test_takeover.py
+++ b/baobabgap/dispatch/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Which jobs may start after an election."""
+"""Starts of jobs after an election and claims of orphaned runs."""
 
 from types import SimpleNamespace
 from typing import cast
@@ -8,13 +8,13 @@
 from baobabgap.accepted import RunEnd
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch._agent_view import AgentView
-from baobabgap.dispatch._books import Books
 from baobabgap.dispatch._messages import EndRow
 from baobabgap.dispatch._messages import RunRow
 from baobabgap.dispatch._messages import StopRuns
 from baobabgap.dispatch._orphans import Orphans
-from baobabgap.dispatch._run_book import RunBook
+from baobabgap.dispatch._run_tracker import RunTracker
 from baobabgap.dispatch._takeover import Takeover
+from baobabgap.dispatch._term_state import TermState
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.transport import Connection
 
@@ -40,41 +40,41 @@
         jobs = (self.fresh, self.begun, self.inherited, self.stored)
         return [job.job_id for job in jobs if self.takeover.may_start(job)]
 
-    def test_nothing_volatile_starts_before_the_entries_are_heard(
+    def test_no_volatile_job_starts_before_entries_report(
         self,
     ) -> None:
         self.assertEqual(['stored'], self.may_start())
 
-    def test_what_is_certainly_new_starts_then(self) -> None:
-        self.takeover.hear_entry('e/1', ('begun',))
+    def test_new_volatile_job_starts_after_entries_report(self) -> None:
+        self.takeover.note_entry_report('e/1', ('begun',))
         self.assertEqual(['fresh', 'stored'], self.may_start())
 
-    def test_all_starts_once_every_agent_is_heard(self) -> None:
-        self.takeover.hear_entry('e/1', ('begun',))
-        self.takeover.hear_agent('a')
-        self.takeover.look(0.0)
+    def test_all_jobs_start_after_all_agents_report(self) -> None:
+        self.takeover.note_entry_report('e/1', ('begun',))
+        self.takeover.note_agent_report('a')
+        self.takeover.end_if_due(0.0)
         self.assertEqual(['fresh', 'stored'], self.may_start())
-        self.takeover.hear_agent('b')
-        self.takeover.look(0.0)
+        self.takeover.note_agent_report('b')
+        self.takeover.end_if_due(0.0)
         self.assertEqual(
             ['fresh', 'begun', 'inherited', 'stored'], self.may_start()
         )
 
-    def test_entry_that_was_started_anew_knows_nothing(self) -> None:
-        """Its clients may hand jobs in again that its former life had."""
-        self.takeover.hear_entry('e/2', ())
+    def test_report_of_a_restarted_entry_does_not_suffice(self) -> None:
+        """Clients may resubmit jobs of the entry's earlier incarnation."""
+        self.takeover.note_entry_report('e/2', ())
         self.assertEqual(['stored'], self.may_start())
 
-    def test_all_starts_once_every_lease_has_lapsed(self) -> None:
-        self.takeover.look(9.9)
+    def test_all_jobs_start_after_all_leases_lapse(self) -> None:
+        self.takeover.end_if_due(9.9)
         self.assertEqual(['stored'], self.may_start())
-        self.takeover.look(10.0)
+        self.takeover.end_if_due(10.0)
         self.assertEqual(4, len(self.may_start()))
 
     def test_no_grant_of_an_earlier_leader_outlives_the_takeover(
         self,
     ) -> None:
-        """The last grant comes `confirmation_s` after the election."""
+        """The last grant is made `confirmation_s` after the election."""
         timing = LeaseTiming()
         slowest_clock = 0.98
         real_s = timing.authority_s / slowest_clock + timing.stop_s
@@ -84,7 +84,7 @@
 
 
 class OrphansTest(unittest.TestCase):
-    def test_job_takes_what_is_left_of_it(self) -> None:
+    def test_job_claims_its_orphans(self) -> None:
         orphans = Orphans()
         task, other = TaskId('a', 0, 0), TaskId('a', 0, 1)
         row = RunRow(task, 1, True)
@@ -96,23 +96,23 @@
         self.assertEqual([other], taken.done)
         self.assertEqual([], orphans.take('a').runs)
 
-    def test_run_of_a_job_that_is_yet_to_come_is_not_stopped(self) -> None:
-        """Regression: a report that came before its job stopped its runs."""
-        books = Books()
-        runs = RunBook(books)
+    def test_run_reported_before_its_job_is_not_stopped(self) -> None:
+        """Regression: a report that arrived before its job stopped its runs."""
+        term_state = TermState()
+        runs = RunTracker(term_state)
         sent: list[object] = []
-        link = SimpleNamespace(send=sent.append)
-        view = AgentView('agent', cast(Connection, link))
+        connection = SimpleNamespace(send=sent.append)
+        view = AgentView('agent', cast(Connection, connection))
         row = RunRow(TaskId('a', 0, 0), 1, True)
         runs.add_unwanted(view, row)
-        books.orphans.add_run('agent', row, 0.0)
+        term_state.orphans.add_run('agent', row, 0.0)
         runs.repeat_stops(view)
         self.assertEqual([], sent)
-        books.orphans.expire(3.0)
+        term_state.orphans.expire(3.0)
         runs.repeat_stops(view)
         self.assertEqual([StopRuns(0, (row,))], sent)
 
-    def test_runs_that_nobody_wants_are_stopped(self) -> None:
+    def test_unclaimed_runs_are_stopped(self) -> None:
         orphans = Orphans()
         row = RunRow(TaskId('a', 0, 0), 1, True)
         orphans.add_run('agent', row, 0.0)
