--- a/baobabgap/dispatch/_events.py
+++ b/baobabgap/dispatch/_events.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallDropped:
-    """No client waits for the answer to a call any more."""
+    """No client waits for the answer to a call any longer."""
 
     call: int
     connection: Connection
--- a/baobabgap/dispatch/_membership_manager.py
+++ b/baobabgap/dispatch/_membership_manager.py
@@ -19,15 +19,15 @@
 
     The group has as many voters as are needed to tolerate the configured
     number of failures. Further hosts stand by until a member has been
-    silent for `patience_s` seconds.
+    silent for `silence_limit_s` seconds.
     """
 
     def __init__(
-        self, log: ReplicatedLog, wanted_members: int, patience_s: float
+        self, log: ReplicatedLog, wanted_members: int, silence_limit_s: float
     ) -> None:
         self._log: Final = log
         self._wanted_members: Final = wanted_members
-        self._patience_s: Final = patience_s
+        self._silence_limit_s: Final = silence_limit_s
         self._lock = threading.Lock()
         self._candidate_by_name: dict[str, ControlHost] = {}
         self._leading_since: float | None = None
@@ -85,9 +85,9 @@
         """Return a member that has been silent too long, or an empty name."""
         assert self._leading_since is not None
         leading_s = time.monotonic() - self._leading_since
-        if leading_s < self._patience_s:
+        if leading_s < self._silence_limit_s:
             return ''
         for name, silence_s in self._log.silence_s_by_member().items():
-            if name in names and silence_s > self._patience_s:
+            if name in names and silence_s > self._silence_limit_s:
                 return name
         return ''
--- a/baobabgap/dispatch/_term_state.py
+++ b/baobabgap/dispatch/_term_state.py
@@ -111,11 +111,11 @@
 
     def backlog(self, service: str, now: float) -> Backlog:
         """Return the work of a service that is waiting and may start."""
-        backlog = self._backlog_by_service.get(service)
-        if backlog is None or now - backlog.looked_at > _BACKLOG_MAX_AGE_S:
-            backlog = Backlog.from_plans(self._waiting_plans(service), now)
-            self._backlog_by_service[service] = backlog
-        return backlog
+        cached = self._backlog_by_service.get(service)
+        if cached is None or now - cached.looked_at > _BACKLOG_MAX_AGE_S:
+            cached = Backlog.from_plans(self._waiting_plans(service), now)
+            self._backlog_by_service[service] = cached
+        return cached
 
     def _waiting_plans(self, service: str) -> Iterator[JobPlan]:
         plans = [
--- a/baobabgap/dispatch/tests/deployment.py
+++ b/baobabgap/dispatch/tests/deployment.py
@@ -101,7 +101,7 @@
             agent.start()
         for link in self._links:
             link.start()
-        self.put_configuration(1)
+        self.configure(1)
         wait_until(lambda: self.calls.is_linked, 'a link to the leader')
 
     def close(self) -> None:
@@ -122,7 +122,7 @@
                 return node
         return None
 
-    def put_configuration(self, version: int) -> None:
+    def configure(self, version: int) -> None:
         """Put a configuration in force."""
         wait_until(lambda: self.leader is not None, 'a leader')
         assert self.leader is not None
--- a/baobabgap/dispatch/tests/test_dispatch.py
+++ b/baobabgap/dispatch/tests/test_dispatch.py
@@ -186,8 +186,8 @@
         )
 
     def test_older_configuration_is_ignored(self) -> None:
-        self.deployment.put_configuration(7)
-        self.deployment.put_configuration(3)
+        self.deployment.configure(7)
+        self.deployment.configure(3)
         assert self.deployment.leader is not None
         stored = self.deployment.leader.read_configuration().result(WAIT_S)
         assert stored is not None
@@ -231,7 +231,7 @@
 
     def test_stored_data_survives_the_loss_of_the_leader(self) -> None:
         deployment = self.deployment
-        deployment.put_configuration(5)
+        deployment.configure(5)
         for upstream in deployment.upstreams:
             upstream.run_ms = 3000
         deployment.submit('a', step(8, 3000), volatile=False).result(WAIT_S)
--- a/baobabgap/dispatch/tests/test_takeover.py
+++ b/baobabgap/dispatch/tests/test_takeover.py
@@ -97,7 +97,7 @@
         self.assertEqual([], orphans.take('a').runs)
 
     def test_run_reported_before_its_job_is_not_stopped(self) -> None:
-        """Regression: a report that arrived before its job stopped its runs."""
+        """Regression: a report that preceded its job stopped the runs."""
         term_state = TermState()
         runs = RunTracker(term_state)
         sent: list[object] = []
