--- a/baobabgap/leaderlink/__init__.py
+++ b/baobabgap/leaderlink/__init__.py
@@ -1,4 +1,4 @@
-"""The way from entries and agents to the leader of the control group."""
+"""Links from entries and agents to the leader of the control group."""
 
 from baobabgap.leaderlink._calls import LeaderCalls
 from baobabgap.leaderlink._link import LeaderLink
--- a/baobabgap/leaderlink/_calls.py
+++ b/baobabgap/leaderlink/_calls.py
@@ -1,4 +1,4 @@
-"""Calls of clients, forwarded to the leader."""
+"""Forwarding of client calls to the leader."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -23,38 +23,38 @@
 
 Call = SubmitJob | ReadPath | CancelPath
 
-# Seconds between looks for a new leader while a call waits for one.
-_LOOK_PAUSE_S: Final = 0.1
-_NO_LEADER_PAUSE_S: Final = 0.02
-# Seconds after the loss of a leader within which calls wait for the next:
-# somewhat more than an election takes.
-_OUTAGE_PATIENCE_S: Final = 1.2
-# Seconds for which a call waits whose job may have begun.
-_BEGUN_PATIENCE_S: Final = 5.0
-# Outcomes that say that nothing of the call has been done.
+# Seconds between tries of a call, with a link to a leader and without one.
+_RETRY_INTERVAL_S: Final = 0.1
+_NO_LEADER_RETRY_INTERVAL_S: Final = 0.02
+# Seconds after the loss of a leader within which calls wait for the next one;
+# slightly longer than an election.
+_OUTAGE_WAIT_S: Final = 1.2
+# Seconds for which a call waits for a leader if its job may have begun.
+_BEGUN_WAIT_S: Final = 5.0
+# Outcomes which state that the call had no effect.
 _NOT_BEGUN: Final = (CallOutcome.UNAVAILABLE, CallOutcome.OVERLOADED)
-# Seconds for which a job that was sent counts as perhaps begun: longer than
-# any task of it can hold a lease after its leader is gone.
-_BEGUN_KEPT_S: Final = 20.0
-# Seconds between looks whether a caller still waits.
-_CALLER_LOOK_S: Final = 0.25
+# Seconds for which a job that was sent counts as possibly begun; longer than
+# any of its tasks can hold a lease after the loss of the leader.
+_BEGUN_RETENTION_S: Final = 20.0
+# Seconds between checks whether a caller still waits.
+_CALLER_CHECK_INTERVAL_S: Final = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingCall:
     """A call that waits for its answer."""
 
-    # The link that it went over.
+    # The link that it was sent on.
     connection: Connection
     future: Future[CallAnswer]
 
 
 class LeaderCalls:
-    """Matches answers of the leader with the calls that wait for them.
+    """Forwards calls to the leader and matches its answers to them.
 
-    Give `session` to a `LeaderLink`. A call that was sent over a link that
-    ended is answered `UNKNOWN`, unless repeating it is harmless: then it
-    goes to the next leader.
+    `session` is the session of a `LeaderLink`. A call whose link ends is
+    answered `UNKNOWN` unless it is safe to repeat; then it is sent to the
+    next leader.
     """
 
     def __init__(self) -> None:
@@ -63,17 +63,17 @@
         self._pending_by_call: dict[int, _PendingCall] = {}
         self._connection: Connection | None = None
         self._has_given_up = False
-        # When the last link to a leader ended, or the process began.
+        # When the last link to a leader ended or the process started.
         self._unlinked_at = time.monotonic()
-        # Volatile jobs by when they were last sent to a leader.
+        # The last time that each volatile job was sent to a leader.
         self._begun_at_by_id: dict[str, float] = {}
-        self._forget_at = 0.0
+        self._next_prune_at = 0.0
         # The largest request body that the configuration allows.
         self.largest_body_bytes = RequestLimits().body_bytes
 
     @property
     def is_linked(self) -> bool:
-        """Tell whether there is a leader to ask."""
+        """Whether there is a link to a leader."""
         return self._connection is not None
 
     def session(
@@ -82,10 +82,11 @@
         ready: LeaderReady,
         messages: Iterator[object],
     ) -> None:
-        """Take answers until the link ends."""
+        """Process answers until the link ends."""
         self.largest_body_bytes = ready.largest_body_bytes
         with self._lock:
-            # Before any call: the leader must know what may have begun.
+            # Sent before any call: the leader must know which jobs may have
+            # begun.
             connection.send(EntryReport(self._begun_job_ids()))
             self._connection = connection
         try:
@@ -96,18 +97,18 @@
                     case LeaderReady():
                         self.largest_body_bytes = message.largest_body_bytes
         finally:
-            self._lose(connection)
+            self._handle_lost_link(connection)
 
     def give_up(self) -> None:
-        """Answer all calls with `UNKNOWN`, now and from now on.
+        """Answer all present and future calls with `UNKNOWN`.
 
-        Volatile jobs go on: their callers come back to them elsewhere.
+        Volatile jobs continue; their callers submit them again elsewhere.
         """
         self._has_given_up = True
         with self._lock:
             self._connection = None
             pending = self._take_pending(None)
-        _fail(pending, 'this entry stops')
+        _resolve_unknown(pending, 'this entry stops')
 
     @property
     def waiting(self) -> int:
@@ -123,16 +124,16 @@
     ) -> CallAnswer:
         """Forward a call and wait for its answer.
 
-        `UNAVAILABLE` says that nothing was sent; `UNKNOWN` that the call
+        `UNAVAILABLE` means that nothing was done; `UNKNOWN` that the call
         may have taken effect. A volatile job is dropped when its caller
-        has left or the time is over.
+        has left or `wait_for_answer_s` seconds have passed.
         """
         now = time.monotonic()
         answer_by = now + wait_for_answer_s
-        # After a longer outage a further wait is likely in vain.
+        # After a longer outage, further waiting is unlikely to help.
         outage_since = now if self.is_linked else self._unlinked_at
         give_up_at = min(
-            now + wait_for_leader_s, outage_since + _OUTAGE_PATIENCE_S
+            now + wait_for_leader_s, outage_since + _OUTAGE_WAIT_S
         )
         may_have_begun = False
         while True:
@@ -145,17 +146,22 @@
                 )
             answer = self._ask_once(call, answer_by, caller_has_left)
             if may_have_begun and answer.outcome in _NOT_BEGUN:
-                # That is true of this try alone.
+                # The outcome holds for this try only.
                 answer = replace(answer, outcome=CallOutcome.UNKNOWN)
             if answer.outcome is CallOutcome.UNKNOWN and not may_have_begun:
-                # Its runs go on without a leader, and may be found again.
+                # Its runs continue without a leader and may be adopted by the
+                # next one.
                 may_have_begun = True
-                give_up_at = time.monotonic() + _BEGUN_PATIENCE_S
-            if self._has_given_up or not _may_repeat(call, answer):
+                give_up_at = time.monotonic() + _BEGUN_WAIT_S
+            if self._has_given_up or not _is_retryable(call, answer):
                 return answer
             if time.monotonic() >= min(give_up_at, answer_by):
                 return answer
-            time.sleep(_LOOK_PAUSE_S if self.is_linked else _NO_LEADER_PAUSE_S)
+            time.sleep(
+                _RETRY_INTERVAL_S
+                if self.is_linked
+                else _NO_LEADER_RETRY_INTERVAL_S
+            )
 
     def _ask_once(
         self,
@@ -178,7 +184,9 @@
         while True:
             left_s = answer_by - time.monotonic()
             try:
-                return future.result(min(max(0.0, left_s), _CALLER_LOOK_S))
+                return future.result(
+                    min(max(0.0, left_s), _CALLER_CHECK_INTERVAL_S)
+                )
             except TimeoutError:
                 if left_s > 0 and not caller_has_left():
                     continue
@@ -192,40 +200,46 @@
         )
 
     def _begun_job_ids(self) -> tuple[str, ...]:
-        """Return the jobs that a leader may have begun; the lock is held."""
-        oldest = time.monotonic() - _BEGUN_KEPT_S
+        """Return the jobs that a leader may have begun.
+
+        The caller holds the lock.
+        """
+        oldest = time.monotonic() - _BEGUN_RETENTION_S
         for job_id, begun_at in list(self._begun_at_by_id.items()):
             if begun_at < oldest:
                 del self._begun_at_by_id[job_id]
         return tuple(self._begun_at_by_id)
 
-    def _forget_old(self) -> None:
-        """Keep the record of begun jobs small; the lock is held."""
+    def _prune_begun_jobs(self) -> None:
+        """Remove old records of begun jobs; the caller holds the lock."""
         now = time.monotonic()
-        if now >= self._forget_at:
-            self._forget_at = now + _BEGUN_KEPT_S / 4
+        if now >= self._next_prune_at:
+            self._next_prune_at = now + _BEGUN_RETENTION_S / 4
             self._begun_job_ids()
 
     def _resolve(self, answer: CallAnswer) -> None:
         with self._lock:
-            self._forget_old()
+            self._prune_begun_jobs()
             pending = self._pending_by_call.pop(answer.call, None)
         if pending is not None:
             pending.future.set_result(answer)
 
-    def _lose(self, connection: Connection) -> None:
-        """A link has ended, and with it the calls that went over it."""
+    def _handle_lost_link(self, connection: Connection) -> None:
+        """Resolve the calls of a link that has ended."""
         with self._lock:
             if self._connection is connection:
                 self._connection = None
                 self._unlinked_at = time.monotonic()
             pending = self._take_pending(connection)
-        _fail(pending, 'leader link lost')
+        _resolve_unknown(pending, 'leader link lost')
 
     def _take_pending(
         self, connection: Connection | None
     ) -> dict[int, Future[CallAnswer]]:
-        """Take the calls of one link, or all; the lock is held."""
+        """Remove and return the calls of one link, or all if None.
+
+        The caller holds the lock.
+        """
         taken = {
             number: call.future
             for number, call in self._pending_by_call.items()
@@ -236,7 +250,9 @@
         return taken
 
 
-def _fail(pending: dict[int, Future[CallAnswer]], detail: str) -> None:
+def _resolve_unknown(
+    pending: dict[int, Future[CallAnswer]], detail: str
+) -> None:
     for number, future in pending.items():
         future.set_result(
             CallAnswer(number, CallOutcome.UNKNOWN, detail=detail)
@@ -247,8 +263,8 @@
     return call.path.rpartition('/')[2]
 
 
-def _may_repeat(call: Call, answer: CallAnswer) -> bool:
-    """Tell whether a call can go out again without harm."""
+def _is_retryable(call: Call, answer: CallAnswer) -> bool:
+    """Return whether a call can safely be sent again."""
     match answer.outcome:
         case CallOutcome.UNAVAILABLE:
             return True
--- a/baobabgap/leaderlink/_link.py
+++ b/baobabgap/leaderlink/_link.py
@@ -1,4 +1,4 @@
-"""Finding the leader of the control group and staying linked to it."""
+"""Discovery of the control group's leader and the link to it."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -18,101 +18,109 @@
 from baobabgap.transport import dial
 from baobabgap.transport import LinkTiming
 
-# Seconds between rounds over all known control hosts: a few rounds fit
-# into the shortest election.
-_ROUND_PAUSE_S: Final = 0.06
-# Seconds after which a failed dial has hung, rather than been refused.
-_HANGS_S: Final = 0.2
-# Seconds for which a host that hung is left out of the search.
-_SHUNNED_S: Final = 0.4
-# Seconds for opening a link: a host that takes longer is no use as leader.
-_DIAL_LIMIT_S: Final = 0.4
+# Seconds between rounds over all known control hosts; a few rounds fit into
+# the shortest election.
+_ROUND_INTERVAL_S: Final = 0.06
+# Seconds after which a failed dial counts as hung rather than refused.
+_HANG_THRESHOLD_S: Final = 0.2
+# Seconds for which a host that hung or lost its link is not tried again.
+_EXCLUSION_S: Final = 0.4
+# Seconds for opening a link; a slower host is unsuitable as leader.
+_DIAL_TIMEOUT_S: Final = 0.4
 
 
 class LeaderLink:
-    """Keeps one link to the leader, through any change of leader.
+    """Maintains one link to the leader across changes of leader.
 
-    `session` runs with each link once the leader has said that it is
-    ready; it reads the messages until the link ends. A control
-    host that does not lead says who does, and the search goes there.
+    `session` is called for each link once the leader has sent
+    `LeaderReady`; it reads the messages until the link ends. A control
+    host that does not lead answers with the leader's address, which is
+    tried next.
     """
 
     def __init__(
         self,
-        own: Callable[[], Hello],
+        make_hello: Callable[[], Hello],
         timing: LinkTiming,
         pool: Executor,
-        configured: Callable[[], tuple[str, ...]],
+        configured_addresses: Callable[[], tuple[str, ...]],
         session: Callable[[Connection, LeaderReady, Iterator[object]], None],
     ) -> None:
-        self._own: Final = own
+        self._make_hello: Final = make_hello
         self._timing: Final = timing
         self._dial_timing: Final = LinkTiming(
-            timing.heartbeat_s, _DIAL_LIMIT_S
+            timing.heartbeat_s, _DIAL_TIMEOUT_S
         )
         self._pool: Final = pool
-        # Addresses from the settings, which may be exchanged meanwhile.
-        self._configured: Final = configured
+        # Returns the addresses of the settings, which may be reloaded.
+        self._configured_addresses: Final = configured_addresses
         self._session: Final = session
-        self._learned: tuple[str, ...] = ()
-        self._hint = ''
+        self._learned_addresses: tuple[str, ...] = ()
+        self._hinted_address = ''
         self._stopping = threading.Event()
-        self._current: Connection | None = None
-        # Hosts that could not be linked to, so that it is logged once.
+        self._connection: Connection | None = None
+        # Hosts whose failed dial has been logged, so that it is logged once.
         self._unreachable: set[str] = set()
-        self._shunned_until: dict[str, float] = {}
+        self._excluded_until: dict[str, float] = {}
 
     def start(self) -> None:
-        """Begin to search in a task of the pool."""
+        """Start the search in a task of the pool."""
         self._pool.submit(self._run)
 
     def stop(self) -> None:
-        """Close the link and search no more."""
+        """Close the link and end the search."""
         self._stopping.set()
-        current = self._current
-        if current is not None:
-            current.close()
+        connection = self._connection
+        if connection is not None:
+            connection.close()
 
     def _run(self) -> None:
         while not self._stopping.is_set():
             for address in self._candidates():
-                if self._stopping.is_set() or self._try(address):
+                if self._stopping.is_set() or self._try_host(address):
                     break
-            if not self._hint:
-                self._stopping.wait(_ROUND_PAUSE_S * random.uniform(0.5, 1.0))
+            if not self._hinted_address:
+                self._stopping.wait(
+                    _ROUND_INTERVAL_S * random.uniform(0.5, 1.0)
+                )
 
     def _candidates(self) -> list[str]:
-        known = dict.fromkeys((*self._learned, *self._configured()))
+        known = dict.fromkeys(
+            (*self._learned_addresses, *self._configured_addresses())
+        )
         now = time.monotonic()
         others = [
             address
             for address in known
-            if address != self._hint and not self._is_shunned(address, now)
+            if address != self._hinted_address
+            and not self._is_excluded(address, now)
         ]
         random.shuffle(others)
-        if self._hint and not self._is_shunned(self._hint, now):
-            return [self._hint, *others]
+        if self._hinted_address and not self._is_excluded(
+            self._hinted_address, now
+        ):
+            return [self._hinted_address, *others]
         return others
 
-    def _is_shunned(self, address: str, now: float) -> bool:
-        """Tell whether a host hung a moment ago, so that it may again."""
-        return now < self._shunned_until.get(address, 0.0)
+    def _is_excluded(self, address: str, now: float) -> bool:
+        """Return whether a host failed recently and may fail again."""
+        return now < self._excluded_until.get(address, 0.0)
 
-    def _shun(self, address: str) -> None:
-        self._shunned_until[address] = time.monotonic() + _SHUNNED_S
+    def _exclude(self, address: str) -> None:
+        self._excluded_until[address] = time.monotonic() + _EXCLUSION_S
 
-    def _try(self, address: str) -> bool:
-        """Use one control host; tell whether it led."""
-        self._hint = ''
+    def _try_host(self, address: str) -> bool:
+        """Try one control host; return false to go on with the next one."""
+        self._hinted_address = ''
         dialled_at = time.monotonic()
         try:
             connection = dial(
-                address, self._own(), self._dial_timing, self._pool
+                address, self._make_hello(), self._dial_timing, self._pool
             )
             connection.use_timing(self._timing)
         except BaobabgapError as error:
-            if time.monotonic() - dialled_at > _HANGS_S:
-                self._shun(address)
+            if time.monotonic() - dialled_at > _HANG_THRESHOLD_S:
+                self._exclude(address)
             if address not in self._unreachable:
                 self._unreachable.add(address)
                 log_event(
@@ -120,23 +128,23 @@
                 )
             return False
         self._unreachable.discard(address)
-        self._current = connection
+        self._connection = connection
         try:
-            return self._use(address, connection)
+            return self._run_session(address, connection)
         except BaobabgapError as error:
-            self._shun(address)
+            self._exclude(address)
             log_event('leader_link_lost', address=address, error=str(error))
             return True
         finally:
-            self._current = None
+            self._connection = None
             connection.close()
 
-    def _use(self, address: str, connection: Connection) -> bool:
+    def _run_session(self, address: str, connection: Connection) -> bool:
         messages = connection.messages()
         first: Any = next(messages, None)
         match first:
             case LeaderReady():
-                self._learned = first.control_addresses
+                self._learned_addresses = first.control_addresses
                 log_event('leader_linked', address=address, fence=first.fence)
                 linked_at = time.monotonic()
                 try:
@@ -149,10 +157,10 @@
                     )
                 return True
             case LeaderHint(address=hint):
-                is_usable = hint and not self._is_shunned(
+                is_usable = hint and not self._is_excluded(
                     hint, time.monotonic()
                 )
                 if is_usable and hint != address:
-                    self._hint = hint
+                    self._hinted_address = hint
                     return True
         return False
--- a/baobabgap/leaderlink/tests/test_calls.py
+++ b/baobabgap/leaderlink/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls to leaders that come and go."""
+"""Forwarding of calls across losses and changes of the leader."""
 
 from collections.abc import Iterator
 from concurrent.futures import Future
@@ -27,7 +27,7 @@
 
 
 class FakeLink:
-    """The entry's end of a link; the test plays the leader."""
+    """The entry's end of a link; the test acts as the leader."""
 
     def __init__(self) -> None:
         self.sent: SimpleQueue[Any] = SimpleQueue()
@@ -73,29 +73,32 @@
         *,
         leader_s: float = 0.3,
         answer_s: float = WAIT_S,
-        left: bool = False,
+        caller_has_left: bool = False,
     ) -> Future[CallAnswer]:
         return self.pool.submit(
-            self.calls.ask, call, leader_s, answer_s, lambda: left
+            self.calls.ask, call, leader_s, answer_s, lambda: caller_has_left
         )
 
-    def test_call_without_a_leader_was_not_done(self) -> None:
+    def test_call_without_a_leader_is_unavailable(self) -> None:
         answer = self.ask(VOLATILE).result(WAIT_S)
         self.assertIs(CallOutcome.UNAVAILABLE, answer.outcome)
 
-    def test_job_that_was_sent_is_never_said_not_to_have_run(self) -> None:
-        """Regression: a lost leader, and none after it, gave a refusal."""
+    def test_sent_job_is_never_reported_as_not_run(self) -> None:
+        """Regression: the loss of the leader was answered with a refusal.
+
+        No leader followed, and the job may have run.
+        """
         link = self.link()
         self.assertIsInstance(link.next_sent(), EntryReport)
-        asked = self.ask(VOLATILE)
+        future = self.ask(VOLATILE)
         self.assertIsInstance(link.next_sent(), SubmitJob)
         link.cut()
-        self.assertIs(CallOutcome.UNKNOWN, asked.result(WAIT_S).outcome)
+        self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
 
     def test_refusal_by_the_next_leader_is_not_passed_on(self) -> None:
         link = self.link()
         link.next_sent()
-        asked = self.ask(VOLATILE, leader_s=1.0)
+        future = self.ask(VOLATILE, leader_s=1.0)
         link.next_sent()
         link.cut()
         second = self.link()
@@ -105,9 +108,9 @@
         second.answer(repeated.call, CallOutcome.OVERLOADED)
         third = second.next_sent().call
         second.answer(third, CallOutcome.FOUND)
-        self.assertIs(CallOutcome.FOUND, asked.result(WAIT_S).outcome)
+        self.assertIs(CallOutcome.FOUND, future.result(WAIT_S).outcome)
 
-    def test_next_leader_hears_which_jobs_may_have_begun(self) -> None:
+    def test_next_leader_is_told_which_jobs_may_have_begun(self) -> None:
         link = self.link()
         self.assertEqual(EntryReport(()), link.next_sent())
         self.ask(VOLATILE, leader_s=2.0)
@@ -121,27 +124,27 @@
     def test_stored_job_is_not_sent_twice(self) -> None:
         link = self.link()
         link.next_sent()
-        asked = self.ask(STORED, leader_s=1.0)
+        future = self.ask(STORED, leader_s=1.0)
         link.next_sent()
         link.cut()
-        self.assertIs(CallOutcome.UNKNOWN, asked.result(WAIT_S).outcome)
+        self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
 
     def test_job_is_dropped_when_its_caller_has_left(self) -> None:
         link = self.link()
         link.next_sent()
-        asked = self.ask(VOLATILE, left=True)
+        future = self.ask(VOLATILE, caller_has_left=True)
         call = link.next_sent().call
         self.assertEqual(DropCall(call), link.next_sent())
-        self.assertIs(CallOutcome.UNKNOWN, asked.result(WAIT_S).outcome)
+        self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
 
     def test_planned_stop_answers_at_once_and_drops_nothing(self) -> None:
         link = self.link()
         link.next_sent()
-        asked = self.ask(VOLATILE)
+        future = self.ask(VOLATILE)
         link.next_sent()
         began_at = time.monotonic()
         self.calls.give_up()
-        self.assertIs(CallOutcome.UNKNOWN, asked.result(WAIT_S).outcome)
+        self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
         self.assertLess(time.monotonic() - began_at, WAIT_S)
         self.assertTrue(link.sent.empty())
 
