--- a/baobabgap/dispatch/__init__.py
+++ b/baobabgap/dispatch/__init__.py
@@ -28,7 +28,7 @@
 from baobabgap.dispatch._roles import AGENT_ROLE
 from baobabgap.dispatch._roles import ENTRY_ROLE
 from baobabgap.dispatch._roles import JOINER_ROLE
-from baobabgap.dispatch._timing import boot_time
+from baobabgap.dispatch._timing import boottime_clock
 from baobabgap.dispatch._timing import CLOCK_DRIFT
 from baobabgap.dispatch._timing import LeaseTiming
 
@@ -36,7 +36,7 @@
     'AGENT_ROLE',
     'Authority',
     'AuthorityRequest',
-    'boot_time',
+    'boottime_clock',
     'CallAnswer',
     'CallOutcome',
     'CancelPath',
--- a/baobabgap/dispatch/_agent_handler.py
+++ b/baobabgap/dispatch/_agent_handler.py
@@ -33,7 +33,7 @@
 from baobabgap.dispatch._run_tracker import RunTracker
 from baobabgap.dispatch._run_tracker import task_text
 from baobabgap.dispatch._term_state import TermState
-from baobabgap.dispatch._timing import boot_time
+from baobabgap.dispatch._timing import boottime_clock
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.scheduling import JobPlan
 from baobabgap.scheduling import PlannedTask
@@ -152,7 +152,7 @@
         request: AuthorityRequest,
     ) -> None:
         """Grant an agent authority to renew leases, as confirmed leader."""
-        view.authority_granted_at = boot_time()
+        view.authority_granted_at = boottime_clock()
         until_ms = request.clock_ms + int(1000 * self._timing.authority_s)
         connection.send(
             Authority(self._term_state.term, request.instance, until_ms)
--- a/baobabgap/dispatch/_agent_view.py
+++ b/baobabgap/dispatch/_agent_view.py
@@ -6,7 +6,7 @@
 from baobabgap.accepted import Demand
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch._messages import UpstreamState
-from baobabgap.dispatch._timing import boot_time
+from baobabgap.dispatch._timing import boottime_clock
 from baobabgap.scheduling import Room
 from baobabgap.transport import Connection
 
@@ -62,7 +62,7 @@
             and self.has_reported
             and self.is_enrolled
             and self.upstream is not None
-            and boot_time() - self.authority_granted_at < authority_s
+            and boottime_clock() - self.authority_granted_at < authority_s
         )
 
     def is_current_instance(self, instance: str, born_ms: int) -> bool:
--- a/baobabgap/dispatch/_leadership.py
+++ b/baobabgap/dispatch/_leadership.py
@@ -10,7 +10,7 @@
 from baobabgap.dispatch._events import LeadershipGained
 from baobabgap.dispatch._events import LeadershipLost
 from baobabgap.dispatch._scheduler import Scheduler
-from baobabgap.dispatch._timing import boot_time
+from baobabgap.dispatch._timing import boottime_clock
 from baobabgap.replication import ReplicatedLog
 from baobabgap.telemetry import log_event
 
@@ -47,7 +47,7 @@
 
     def is_confirmed(self) -> bool:
         """Return whether a majority has recently confirmed this leader."""
-        return boot_time() - self._confirmed_at <= self._confirmation_s
+        return boottime_clock() - self._confirmed_at <= self._confirmation_s
 
     def restart_term(self) -> None:
         """Start the current term again, after a failure of the scheduler."""
@@ -84,7 +84,7 @@
 
     def _begin_term(self, scheduler: Scheduler, term: int) -> None:
         """Apply all that earlier leaders committed, then start to lead."""
-        asked_at = boot_time()
+        asked_at = boottime_clock()
 
         def begin(done: Future[int]) -> None:
             # Runs in the task that applies commands, so that the state
@@ -116,7 +116,7 @@
         self._log.read_barrier().add_done_callback(begin)
 
     def _confirm(self) -> None:
-        now = boot_time()
+        now = boottime_clock()
         if now - self._confirm_requested_at < _CONFIRM_INTERVAL_S:
             return
         self._confirm_requested_at = now
--- a/baobabgap/dispatch/_scheduler.py
+++ b/baobabgap/dispatch/_scheduler.py
@@ -42,7 +42,7 @@
 from baobabgap.dispatch._takeover import Takeover
 from baobabgap.dispatch._term_state import TermState
 from baobabgap.dispatch._timeout_monitor import TimeoutMonitor
-from baobabgap.dispatch._timing import boot_time
+from baobabgap.dispatch._timing import boottime_clock
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.queues import QueueTable
 from baobabgap.scheduling import JobPlan
@@ -222,7 +222,7 @@
         for member in event.members:
             if member.startswith(prefix):
                 view = AgentView(member.removeprefix(prefix), is_enrolled=True)
-                view.authority_granted_at = boot_time()
+                view.authority_granted_at = boottime_clock()
                 term_state.view_by_name[view.name] = view
         for unfinished in event.unfinished:
             plan = JobPlan.from_unfinished(
--- a/baobabgap/dispatch/_timeout_monitor.py
+++ b/baobabgap/dispatch/_timeout_monitor.py
@@ -9,7 +9,7 @@
 from baobabgap.dispatch._run_tracker import RunTracker
 from baobabgap.dispatch._run_tracker import task_text
 from baobabgap.dispatch._term_state import TermState
-from baobabgap.dispatch._timing import boot_time
+from baobabgap.dispatch._timing import boottime_clock
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.scheduling import is_overdue
 from baobabgap.scheduling import PlannedTask
@@ -57,7 +57,7 @@
             del ended_by_id[job_id]
 
     def _check_unlinked(self, view: AgentView) -> None:
-        since_grant_s = boot_time() - view.authority_granted_at
+        since_grant_s = boottime_clock() - view.authority_granted_at
         if since_grant_s > self._timing.lapse_s:
             self._runs.drop_all(view, 'lease lapsed')
             self._term_state.takeover.note_agent_report(view.name)
--- a/baobabgap/dispatch/_timing.py
+++ b/baobabgap/dispatch/_timing.py
@@ -8,7 +8,7 @@
 CLOCK_DRIFT: Final = 0.02
 
 
-def boot_time() -> float:
+def boottime_clock() -> float:
     """Return seconds on a clock that includes time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/baobabgap/upstreams/_run_agent.py
+++ b/baobabgap/upstreams/_run_agent.py
@@ -12,7 +12,7 @@
 
 from baobabgap.dispatch import Authority
 from baobabgap.dispatch import AuthorityRequest
-from baobabgap.dispatch import boot_time
+from baobabgap.dispatch import boottime_clock
 from baobabgap.dispatch import EndRow
 from baobabgap.dispatch import EndsNoted
 from baobabgap.dispatch import FullReport
@@ -201,7 +201,9 @@
     def _begin_life(self) -> None:
         """Forget what belongs to an earlier life of the upstream."""
         self._table = RunTable()
-        self._clock = LeaseClock(boot_time(), self._timing.longest_lease_s)
+        self._clock = LeaseClock(
+            boottime_clock(), self._timing.longest_lease_s
+        )
         self._authority_until_ms = 0
         # The highest end that the leader has made durable.
         self._noted = 0
@@ -310,7 +312,7 @@
     def _send_start(self, start: _Start) -> None:
         lease_until_ms = self._lease_for_start(start)
         if lease_until_ms:
-            asked_at = boot_time()
+            asked_at = boottime_clock()
             outcome, clock_ms = self._client.start(
                 start.instance, start.order, start.fence, lease_until_ms
             )
@@ -328,7 +330,7 @@
                 self._send_gone((run.row,), 'not sent')
                 return 0
             until_ms = self._next_lease_ms()
-            now_ms = self._clock.estimate_ms(boot_time())
+            now_ms = self._clock.estimate_ms(boottime_clock())
             if until_ms - now_ms < _SHORTEST_LEASE_MS:
                 self._table.remove(order.task, order.run)
                 self._send_gone((run.row,), 'no authority')
@@ -381,7 +383,7 @@
         upstream = self._upstream
         if upstream is None:
             return
-        now = boot_time()
+        now = boottime_clock()
         for run in self._table.to_stop(now - _STOP_PAUSE_S):
             run.stop_sent_at = now
             self._calls.put(_Stop(self._fence, upstream.instance, run))
@@ -393,7 +395,7 @@
         )
         with self._lock:
             if answered and run.stopped_at is None:
-                run.stopped_at = boot_time()
+                run.stopped_at = boottime_clock()
 
     # Looks.
 
@@ -413,7 +415,7 @@
             if not fence:
                 self._pause(_SILENT_PAUSE_S)
                 continue
-            asked_at = boot_time()
+            asked_at = boottime_clock()
             wait_ms = 0 if owes or not lease_ms else self._look_wait_ms()
             try:
                 holding = self._client.hold(
@@ -520,7 +522,7 @@
             self._connection.send(RunsGone(*life, tuple(gone), 'stopped'))
 
     def _look_wait_ms(self) -> int:
-        is_wary = boot_time() - self._silent_at < _WARY_S
+        is_wary = boottime_clock() - self._silent_at < _WARY_S
         if is_wary or self._connection is None:
             return _SHORT_LOOK_WAIT_MS
         return _LOOK_WAIT_MS
@@ -529,10 +531,10 @@
         """The upstream doesn't answer: judge by its lease what still runs."""
         with self._lock:
             self._silent_looks += 1
-            self._silent_at = boot_time()
+            self._silent_at = boottime_clock()
             if self._silent_looks == _SILENT_LOOKS:
                 self._set_reachable(False)
-            if not self._clock.has_lapsed(boot_time()):
+            if not self._clock.has_lapsed(boottime_clock()):
                 return
             rows = self._table.rows()
             if rows:
@@ -581,11 +583,11 @@
     def _next_lease_ms(self) -> int:
         """Return how far a lease may go now, on the upstream's clock."""
         longest_ms = int(1000 * self._timing.longest_lease_s)
-        now_ms = self._clock.estimate_ms(boot_time())
+        now_ms = self._clock.estimate_ms(boottime_clock())
         return min(now_ms + longest_ms, self._authority_until_ms)
 
     def _ask_for_authority(self) -> None:
-        now = boot_time()
+        now = boottime_clock()
         if now - self._authority_asked_at < _AUTHORITY_PAUSE_S:
             return
         if self._connection is None or self._upstream is None:
--- a/baobabgap/upstreams/_run_table.py
+++ b/baobabgap/upstreams/_run_table.py
@@ -22,7 +22,7 @@
     is_in_flight: bool = True
     # Whether it is to be stopped; a stop is repeated until answered.
     must_stop: bool = False
-    # When a stop was sent last, in seconds of `boot_time`.
+    # When a stop was sent last, in seconds of `boottime_clock`.
     stop_sent_at: float = float('-inf')
     # When a stop was answered; the run can't come into being after that.
     stopped_at: float | None = None
