--- a/baobabgap/dispatch/_control_node.py
+++ b/baobabgap/dispatch/_control_node.py
@@ -66,7 +66,7 @@
     # Target number of group members; further hosts stand by.
     wanted_members: int
     # Seconds of silence after which a member may be replaced.
-    member_patience_s: float
+    member_silence_limit_s: float
 
 
 class ControlNode:
@@ -109,7 +109,7 @@
         )
         self._state.on_configuration = self._apply_configuration
         self._membership = MembershipManager(
-            self._log, options.wanted_members, options.member_patience_s
+            self._log, options.wanted_members, options.member_silence_limit_s
         )
         self._limits = RequestLimits()
         self._member_lock = threading.Lock()
