--- a/baobabgap/dispatch/tests/fake_upstream.py
+++ b/baobabgap/dispatch/tests/fake_upstream.py
@@ -41,17 +41,17 @@
         self.last_wait_ms = 0
         self.starts: list[tuple[TaskId, int]] = []
         self._lock = threading.Condition()
-        self._begin_life()
+        self._start_instance()
 
     def restart(self, born_ms: int) -> None:
         """Start a new instance without the state of the earlier one."""
         with self._lock:
             self.born_ms = born_ms
             self.starts = []
-            self._begin_life()
+            self._start_instance()
             self._lock.notify_all()
 
-    def _begin_life(self) -> None:
+    def _start_instance(self) -> None:
         self._began_at = time.monotonic()
         self._fence = 0
         self._lease_ms = 0
--- a/tools/job_history/_recorded_upstream.py
+++ b/tools/job_history/_recorded_upstream.py
@@ -109,8 +109,8 @@
             if self.born_ms == born_ms:
                 self.carry_out(order, fence, lease_until_ms)
 
-    def _begin_life(self) -> None:
-        super()._begin_life()
+    def _start_instance(self) -> None:
+        super()._start_instance()
         self._open = {}
         self._ended_records: list[RunRecord] = []
 
