--- a/baobabgap/upstreams/_clock.py
+++ b/baobabgap/upstreams/_clock.py
@@ -11,7 +11,7 @@
 class LeaseClock:
     """The last reading of the upstream's clock, and its latest lease.
 
-    Local times are seconds of `boot_time`, which also counts the time for
+    Local times are seconds of `boottime_clock`, which also counts the time for
     which the host is suspended.
     """
 
--- a/baobabgap/upstreams/_run_agent.py
+++ b/baobabgap/upstreams/_run_agent.py
@@ -12,7 +12,7 @@
 
 from baobabgap.dispatch import Authority
 from baobabgap.dispatch import AuthorityRequest
-from baobabgap.dispatch import boot_time
+from baobabgap.dispatch import boottime_clock
 from baobabgap.dispatch import EndRow
 from baobabgap.dispatch import EndsNoted
 from baobabgap.dispatch import FullReport
@@ -207,7 +207,9 @@
     def _reset_incarnation(self) -> None:
         """Discard the state of an earlier incarnation of the upstream."""
         self._table = RunTable()
-        self._clock = LeaseClock(boot_time(), self._timing.longest_lease_s)
+        self._clock = LeaseClock(
+            boottime_clock(), self._timing.longest_lease_s
+        )
         self._authority_until_ms = 0
         # The highest number of an end that the leader has made durable.
         self._acknowledged_number = 0
@@ -325,7 +327,7 @@
     def _send_start(self, start: _StartCall) -> None:
         lease_until_ms = self._lease_for_start(start)
         if lease_until_ms:
-            sent_at = boot_time()
+            sent_at = boottime_clock()
             outcome, clock_ms = self._client.start(
                 start.instance, start.order, start.fence, lease_until_ms
             )
@@ -343,7 +345,7 @@
                 self._send_runs_gone((run.row,), 'not sent')
                 return 0
             until_ms = self._next_lease_end_ms()
-            now_ms = self._clock.estimate_ms(boot_time())
+            now_ms = self._clock.estimate_ms(boottime_clock())
             if until_ms - now_ms < _SHORTEST_LEASE_MS:
                 self._table.remove(order.task, order.run)
                 self._send_runs_gone((run.row,), 'no authority')
@@ -396,7 +398,7 @@
         upstream = self._upstream
         if upstream is None:
             return
-        now = boot_time()
+        now = boottime_clock()
         for run in self._table.stops_due(now - _STOP_RETRY_PAUSE_S):
             run.stop_sent_at = now
             self._calls.put(_StopCall(self._fence, upstream.instance, run))
@@ -408,7 +410,7 @@
         )
         with self._lock:
             if answered and run.stopped_at is None:
-                run.stopped_at = boot_time()
+                run.stopped_at = boottime_clock()
 
     # Polls.
 
@@ -430,7 +432,7 @@
             if not fence:
                 self._pause(_POLL_RETRY_PAUSE_S)
                 continue
-            sent_at = boot_time()
+            sent_at = boottime_clock()
             wait_ms = (
                 0
                 if is_full_report_due or not lease_end_ms
@@ -551,7 +553,7 @@
 
     def _poll_wait_ms(self) -> int:
         had_unanswered_poll = (
-            boot_time() - self._last_unanswered_at < _SHORT_POLL_PERIOD_S
+            boottime_clock() - self._last_unanswered_at < _SHORT_POLL_PERIOD_S
         )
         if had_unanswered_poll or self._connection is None:
             return _SHORT_POLL_WAIT_MS
@@ -561,10 +563,10 @@
         """Count an unanswered poll; once the lease expired, drop the runs."""
         with self._lock:
             self._unanswered_polls += 1
-            self._last_unanswered_at = boot_time()
+            self._last_unanswered_at = boottime_clock()
             if self._unanswered_polls == _UNREACHABLE_AFTER_POLLS:
                 self._report_reachability(False)
-            if not self._clock.has_lapsed(boot_time()):
+            if not self._clock.has_lapsed(boottime_clock()):
                 return
             rows = self._table.rows()
             if rows:
@@ -618,11 +620,11 @@
         In milliseconds of the upstream's clock.
         """
         longest_ms = int(1000 * self._timing.longest_lease_s)
-        now_ms = self._clock.estimate_ms(boot_time())
+        now_ms = self._clock.estimate_ms(boottime_clock())
         return min(now_ms + longest_ms, self._authority_until_ms)
 
     def _request_authority(self) -> None:
-        now = boot_time()
+        now = boottime_clock()
         if now - self._authority_requested_at < _AUTHORITY_PAUSE_S:
             return
         if self._connection is None or self._upstream is None:
--- a/baobabgap/upstreams/_run_table.py
+++ b/baobabgap/upstreams/_run_table.py
@@ -22,7 +22,7 @@
     is_in_flight: bool = True
     # Whether to stop the run; the stop is repeated until answered.
     must_stop: bool = False
-    # Time of the last stop call, seconds of `boot_time`.
+    # Time of the last stop call, seconds of `boottime_clock`.
     stop_sent_at: float = float('-inf')
     # Time of the answer to a stop; the run cannot start after that.
     stopped_at: float | None = None
