--- a/baobabgap/scheduling/__init__.py
+++ b/baobabgap/scheduling/__init__.py
@@ -1,4 +1,7 @@
-"""Decisions on load: admission, order, placing, health. No I/O, no clock."""
+"""Scheduling policies: admission, order of starts, placement, health.
+
+They do no I/O and read no clock; the caller passes the time.
+"""
 
 from baobabgap.scheduling._admission import admit
 from baobabgap.scheduling._admission import Prospect
@@ -6,20 +9,20 @@
 from baobabgap.scheduling._admission import retry_after
 from baobabgap.scheduling._backlog import Backlog
 from baobabgap.scheduling._health import is_overdue
-from baobabgap.scheduling._health import RoomHealth
+from baobabgap.scheduling._health import TargetHealth
 from baobabgap.scheduling._job_plan import JobPlan
 from baobabgap.scheduling._job_plan import LATE_FACTOR
 from baobabgap.scheduling._job_plan import PlannedTask
 from baobabgap.scheduling._planner import Placement
 from baobabgap.scheduling._planner import plan_starts
-from baobabgap.scheduling._rooms import choose_room
-from baobabgap.scheduling._rooms import Room
 from baobabgap.scheduling._run_times import RunTimes
+from baobabgap.scheduling._targets import choose_target
+from baobabgap.scheduling._targets import Room
 
 __all__ = [
     'admit',
     'Backlog',
-    'choose_room',
+    'choose_target',
     'is_overdue',
     'JobPlan',
     'LATE_FACTOR',
@@ -30,6 +33,6 @@
     'Refusal',
     'retry_after',
     'Room',
-    'RoomHealth',
     'RunTimes',
+    'TargetHealth',
 ]
--- a/baobabgap/scheduling/_admission.py
+++ b/baobabgap/scheduling/_admission.py
@@ -1,9 +1,9 @@
-"""Whether a new job can still be served in time.
+"""Admission control: whether a new job can still be served in time.
 
-This answers a load that lasts above the capacity: without a refusal each
-job would wait a little longer than the one before, until all are late. It
-answers the load after an outage too, when most upstreams are not back yet:
-who is refused for what will be gone in a moment comes back too late.
+Under sustained overload without refusals, each job would wait longer than
+the one before, until all are late. Just after an outage, when most
+upstreams have not returned yet, a job must not be refused because of a
+backlog that will soon have cleared: its retry would come too late.
 """
 
 from dataclasses import dataclass
@@ -12,46 +12,45 @@
 from baobabgap.accepted import Step
 from baobabgap.scheduling._backlog import Backlog
 from baobabgap.scheduling._job_plan import JobPlan
-from baobabgap.scheduling._rooms import Room
+from baobabgap.scheduling._targets import Room
 
-# Seconds of waiting work that keep no job from being served.
-_NO_WAIT_S: Final = 0.05
-# The shortest pause that a refused caller is told, milliseconds.
+# Expected wait that never causes a refusal.
+_NEGLIGIBLE_WAIT_S: Final = 0.05
+# Bounds of the retry delay given to a refused caller.
 _SHORTEST_RETRY_AFTER_MS: Final = 100
-# The longest pause that a refused caller is told, milliseconds.
 _LONGEST_RETRY_AFTER_MS: Final = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A job is refused before anything of it has run."""
+    """The refusal of a job, none of whose tasks has run."""
 
-    # Milliseconds after which the backlog should have passed.
+    # Milliseconds after which the backlog should have cleared.
     retry_after_ms: int
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Prospect:
-    """What a new job would have to wait for, and how long it can.
+    """The backlog that a new job meets, and how long the job can wait.
 
-    Work in core-seconds, times in seconds.
+    Work is in core-seconds, times are in seconds.
     """
 
-    # Work that goes before the job.
+    # Waiting work that starts before the job.
     ahead_core_s: float
-    # All work that waits in the job's service.
+    # All waiting work of the job's service.
     total_core_s: float
-    # How long the job may wait and be on time.
+    # How long the job may wait and still end on time.
     on_time_patience_s: float
-    # How long it may wait and still count.
+    # How long it may wait and still be worth running.
     late_patience_s: float
 
     @classmethod
     def from_backlog(
         cls, backlog: Backlog, plan: JobPlan, now: float
     ) -> 'Prospect':
-        """Look at a job that isn't counted in the backlog yet."""
+        """Build the input for a job that is not in the backlog yet."""
         return cls(
             backlog.ahead_core_s(plan),
             backlog.total_core_s,
@@ -61,51 +60,52 @@
 
 
 def admit(
-    rooms: list[Room],
+    targets: list[Room],
     steps: tuple[Step, ...],
     prospect: Prospect,
     returning: int = 0,
 ) -> Refusal | None:
-    """Refuse a job that can't be served, or not before it is worthless.
-
-    A job is taken if what goes before it lets it be on time. Else it
-    would go behind all that can be, and is taken only if even all that
-    waits leaves it worth something. `returning` is the number of
-    upstreams that are expected back at once; each counts like the open
-    ones.
+    """Refuse a job that can't be served, or only too late to be useful.
+
+    A job is admitted if the work ahead of it lets it be on time.
+    Otherwise it would start after all jobs that can be on time, and is
+    admitted only if it is still worth running after the whole backlog.
+    `returning` is the number of upstreams expected back shortly; each
+    counts with the average capacity of the open ones. Returns None if the
+    job is admitted.
     """
-    if rooms and not _could_ever_fit(rooms, steps):
-        # Another upstream may come; the caller decides whether to wait.
+    if targets and not _could_ever_fit(targets, steps):
+        # A larger upstream may join; the caller decides whether to wait.
         return Refusal(_LONGEST_RETRY_AFTER_MS, 'no upstream is large enough')
-    cores = _open_cores(rooms, returning)
+    cores = _open_cores(targets, returning)
     if not cores:
         return None
     ahead_s = prospect.ahead_core_s / cores
     wait_s = prospect.total_core_s / cores
-    if ahead_s <= max(prospect.on_time_patience_s, _NO_WAIT_S):
-        # Late already, perhaps, but nothing keeps it from being served.
+    if ahead_s <= max(prospect.on_time_patience_s, _NEGLIGIBLE_WAIT_S):
+        # A job that is late already is served too if it need not wait.
         return None
     if wait_s <= prospect.late_patience_s:
         return None
     return Refusal(
         retry_after(
-            rooms, prospect.total_core_s, prospect.late_patience_s, returning
+            targets, prospect.total_core_s, prospect.late_patience_s, returning
         ),
         f'{ahead_s:.1f} s of work go before it, {wait_s:.1f} s wait',
     )
 
 
 def retry_after(
-    rooms: list[Room],
+    targets: list[Room],
     backlog_core_s: float,
     patience_s: float = 0.0,
     returning: int = 0,
 ) -> int:
-    """Return the milliseconds after which a caller should come again.
+    """Return the milliseconds after which a caller should retry.
 
-    By then the backlog should have shrunk to what the job can bear.
+    By then the wait should have shrunk to the job's patience.
     """
-    cores = _open_cores(rooms, returning)
+    cores = _open_cores(targets, returning)
     if not cores:
         return _LONGEST_RETRY_AFTER_MS
     excess_s = max(0.0, backlog_core_s / cores - patience_s)
@@ -115,17 +115,19 @@
     )
 
 
-def _open_cores(rooms: list[Room], returning: int) -> float:
+def _open_cores(targets: list[Room], returning: int) -> float:
     cores = [
-        room.capacity.cpu_millicores / 1000 for room in rooms if room.is_open
+        target.capacity.cpu_millicores / 1000
+        for target in targets
+        if target.is_open
     ]
     if not cores:
         return 0.0
     return sum(cores) * (1 + returning / len(cores))
 
 
-def _could_ever_fit(rooms: list[Room], steps: tuple[Step, ...]) -> bool:
+def _could_ever_fit(targets: list[Room], steps: tuple[Step, ...]) -> bool:
     return all(
-        any(step.demand.fits_in(room.capacity) for room in rooms)
+        any(step.demand.fits_in(target.capacity) for target in targets)
         for step in steps
     )
--- a/baobabgap/scheduling/_backlog.py
+++ b/baobabgap/scheduling/_backlog.py
@@ -1,7 +1,7 @@
-"""How much work waits, and how much of it goes before a new job.
+"""The work that waits, and the part of it that starts before a new job.
 
-This answers a load with a backlog that is late already: what comes in
-now goes before it, so it doesn't have to wait for all of it.
+Jobs that can still be on time start before late ones. While the backlog is
+late already, a new job therefore waits for only a part of it.
 """
 
 from bisect import bisect_right
@@ -16,9 +16,9 @@
 
 
 class Backlog:
-    """The waiting work of one service, by urgency, at one moment.
+    """The waiting work of one service, ordered by urgency, at one time.
 
-    An example, with all amounts in core-seconds::
+    All amounts are in core-seconds::
 
         backlog = Backlog.from_plans(plans, now)
         backlog.ahead_core_s(new_plan)
@@ -30,35 +30,35 @@
         self.looked_at: Final = looked_at
         ordered = sorted(work)
         self._urgencies = [urgency for urgency, _ in ordered]
-        # What waits up to and with each of them.
+        # Cumulative work up to and including each urgency.
         self._sums = list(accumulate(core_s for _, core_s in ordered))
-        # Jobs that came in since, which are few.
-        self._added: list[tuple[Urgency, float]] = []
+        # Work of the few jobs added since; not sorted.
+        self._added_work: list[tuple[Urgency, float]] = []
 
     @classmethod
     def from_plans(cls, plans: Iterable[JobPlan], now: float) -> Self:
-        """Look at what waits now."""
+        """Sum up the tasks of the plans that wait at `now`."""
         return cls(
             (work for plan in plans for work in _waiting_work(plan, now)), now
         )
 
     def add(self, plan: JobPlan) -> None:
-        """Count a job that has just come in."""
-        self._added.extend(_waiting_work(plan, self.looked_at))
+        """Add the work of a newly admitted job."""
+        self._added_work.extend(_waiting_work(plan, self.looked_at))
 
     @property
     def total_core_s(self) -> float:
-        """All that waits."""
+        """The total waiting work."""
         before = self._sums[-1] if self._sums else 0.0
-        return before + sum(core_s for _, core_s in self._added)
+        return before + sum(core_s for _, core_s in self._added_work)
 
     def ahead_core_s(self, plan: JobPlan) -> float:
-        """Return what goes before a job that isn't counted yet."""
+        """Return the work that starts before a job not yet in the backlog."""
         urgency = urgency_of(plan, 0, self.looked_at)
         count = bisect_right(self._urgencies, urgency)
         before = self._sums[count - 1] if count else 0.0
         return before + sum(
-            core_s for other, core_s in self._added if other <= urgency
+            core_s for other, core_s in self._added_work if other <= urgency
         )
 
 
--- a/baobabgap/scheduling/_health.py
+++ b/baobabgap/scheduling/_health.py
@@ -1,95 +1,95 @@
-"""Judging an upstream by its own runs."""
+"""Health of an upstream, judged by the runs on it."""
 
 from dataclasses import dataclass
 from typing import Final
 
-# The share of a new run in the moving average of slowness.
-_WEIGHT: Final = 0.1
-# An upstream is slow, and not just of a slower kind, from this multiple of
-# what its kind takes.
-_SICK_SLOWNESS: Final = 1.9
-# Runs that hang in a row, with none done between, that suspend an upstream.
+# Weight of a new run in the exponential moving average of slowness.
+_SMOOTHING_FACTOR: Final = 0.1
+# Multiple of its kind's run time from which an upstream counts as slow, and
+# not just as one of a slower kind.
+_SLOW_UPSTREAM_FACTOR: Final = 1.9
+# Overdue runs without a success in between that suspend an upstream.
 _HANGS_TO_SUSPEND: Final = 3
-# Failures in a row, with no success between, that suspend an upstream: one
-# may be the task's own fault.
+# Failures without a success in between that suspend an upstream: a single
+# one may be the task's own fault.
 _FAILURES_TO_SUSPEND: Final = 2
-# Seconds of the first suspension; each further one is twice as long.
+# Each suspension is twice as long as the one before, up to the longest.
 _FIRST_SUSPENSION_S: Final = 1.0
 _LONGEST_SUSPENSION_S: Final = 8.0
-# Seconds for which an upstream that has refused a start gets none.
+# Time without new runs for an upstream that has refused a start.
 _REFUSED_PAUSE_S: Final = 0.1
-# Runs that a suspended upstream gets at a time when it is tried again.
+# Concurrent runs on an upstream on trial after a suspension.
 _TRIAL_RUNS: Final = 1
-# Multiples of the expected run time from which a run counts as overdue:
-# estimates are rough.
+# Multiple of the expected run time from which a run is overdue; it allows
+# for rough estimates.
 _OVERDUE_FACTOR: Final = 3.0
-# The same where tasks of its step have shown how long they take.
-_OVERDUE_AMONG_SIBLINGS: Final = 2.0
-# Seconds that a run may take longer in any case: clocks, queues, wakes.
+# Multiple of the longest successful run of the same step, if there is one.
+_SIBLING_OVERDUE_FACTOR: Final = 2.0
+# Added to every limit for clock error, queueing and wake-up latency.
 _OVERDUE_SLACK_S: Final = 0.25
 
 
 @dataclass(slots=True)
-class RoomHealth:
-    """How one life of an upstream has done so far."""
+class TargetHealth:
+    """Run statistics of one incarnation of an upstream."""
 
-    # Observed over expected run time; 1.0 is sound.
+    # Moving average of observed over expected run time; 1.0 is healthy.
     slowness: float = 1.0
     failures_in_row: int = 0
     hangs_in_row: int = 0
     suspensions: int = 0
     suspended_until: float = 0.0
     refused_until: float = 0.0
-    # Whether it has not succeeded since its last suspension.
+    # Whether no run has succeeded since the last suspension.
     on_trial: bool = False
 
     def note_done(self, run_s: float, expected_s: float) -> None:
-        """Take note of a run that was done."""
+        """Record a successful run."""
         self.failures_in_row = 0
         self.hangs_in_row = 0
         self.on_trial = False
         self.suspensions = 0
         ratio = run_s / max(expected_s, 0.001)
-        self.slowness += _WEIGHT * (min(ratio, 20.0) - self.slowness)
+        self.slowness += _SMOOTHING_FACTOR * (min(ratio, 20.0) - self.slowness)
 
     def note_failed(self, now: float) -> bool:
-        """Take note of a failed run; tell whether it is suspended now."""
+        """Record a failed run; return whether it causes a suspension."""
         self.failures_in_row += 1
         if self.on_trial or self.failures_in_row >= _FAILURES_TO_SUSPEND:
             return self._suspend(now)
         return False
 
     def note_refused(self, now: float) -> None:
-        """The upstream has refused a start: ask it again a little later."""
+        """Record a refused start, and pause further starts."""
         self.refused_until = now + _REFUSED_PAUSE_S
 
     def note_overdue(self, now: float) -> bool:
-        """Take note of a run that hangs; tell whether it suspends."""
+        """Record an overdue run; return whether it causes a suspension."""
         self.hangs_in_row += 1
         if self.on_trial or self.hangs_in_row >= _HANGS_TO_SUSPEND:
             return self._suspend(now)
         return False
 
     @property
-    def sickness(self) -> float:
-        """How much longer runs take than on others of its kind, or 1."""
-        return self.slowness if self.slowness >= _SICK_SLOWNESS else 1.0
+    def slowdown(self) -> float:
+        """The run time factor against its kind; 1 unless clearly slow."""
+        return self.slowness if self.slowness >= _SLOW_UPSTREAM_FACTOR else 1.0
 
-    def may_take(self, running: int, now: float) -> bool:
-        """Tell whether the upstream may get one more run."""
+    def accepts_run(self, running: int, now: float) -> bool:
+        """Return whether the upstream may get one more run."""
         if now < max(self.suspended_until, self.refused_until):
             return False
         return not self.on_trial or running < _TRIAL_RUNS
 
-    def pardon(self) -> None:
-        """Take the upstream for sound until it shows otherwise."""
+    def lift_suspension(self) -> None:
+        """End the suspension or trial and reset the fault counts."""
         self.suspended_until = 0.0
         self.on_trial = False
         self.hangs_in_row = 0
         self.failures_in_row = 0
 
     def is_suspended(self, now: float) -> bool:
-        """Tell whether the upstream gets nothing for now."""
+        """Return whether the upstream is suspended at `now`."""
         return now < self.suspended_until
 
     def _suspend(self, now: float) -> bool:
@@ -110,14 +110,14 @@
     sibling_s: float | None,
     overdue_before: int = 0,
 ) -> bool:
-    """Tell whether a run has taken far longer than it should.
+    """Return whether a run has taken far longer than expected.
 
-    `sibling_s` is the longest run of a task of the same step that is
-    done, or None. Each run of the task that was overdue before doubles
-    the time: a task that is only longer than it seemed must end once.
+    `sibling_s` is the longest successful run of the same step, or None.
+    Each earlier overdue run of the task doubles the limit, so that a task
+    whose estimate is too low can finish in the end.
     """
     if sibling_s is None:
-        most_s = _OVERDUE_FACTOR * expected_s
+        limit_s = _OVERDUE_FACTOR * expected_s
     else:
-        most_s = max(expected_s, _OVERDUE_AMONG_SIBLINGS * sibling_s)
-    return run_s > 2.0**overdue_before * most_s + _OVERDUE_SLACK_S
+        limit_s = max(expected_s, _SIBLING_OVERDUE_FACTOR * sibling_s)
+    return run_s > 2.0**overdue_before * limit_s + _OVERDUE_SLACK_S
--- a/baobabgap/scheduling/_job_plan.py
+++ b/baobabgap/scheduling/_job_plan.py
@@ -1,4 +1,4 @@
-"""One unfinished job as the scheduler sees it."""
+"""Scheduling state of one unfinished job."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -11,28 +11,28 @@
 from baobabgap.accepted import UnfinishedJob
 from baobabgap.scheduling._run_times import RunTimes
 
-# A job counts for little after this multiple of its objective.
+# Multiple of its latency objective after which a job is hardly worth running.
 LATE_FACTOR: Final = 3.0
 
 
 @dataclass(slots=True)
 class PlannedTask:
-    """One task that is not known to be done."""
+    """Scheduling state of one task that is not known to be done."""
 
     task: TaskId
-    # The highest run number given out or seen.
+    # The highest run number assigned or reported.
     last_run: int = 0
-    # Upstreams on which a run has failed or hung.
+    # Upstreams on which a run of the task has failed or hung.
     avoided: set[str] = field(default_factory=set)
     failed_runs: set[int] = field(default_factory=set)
-    # How many of its runs were stopped because they took too long.
+    # Number of its runs that were stopped because they took too long.
     overdue_runs: int = 0
-    # Where the task runs, or may run; empty while it waits.
+    # The upstream where the task runs or may run; empty while it waits.
     upstream: str = ''
 
 
 class JobPlan:
-    """What is left to do of a job, and by when.
+    """The remaining tasks of a job and the times by which they must start.
 
     Times are seconds on the scheduler's clock.
     """
@@ -42,16 +42,16 @@
     ) -> None:
         self.job: Final = job
         self.arrived_at: Final = arrived_at
-        # Until when somebody waits for a volatile job's end.
+        # Time until which a caller waits for the end of a volatile job.
         self.awaited_until = math.inf
         self.has_started = False
-        # Whether an earlier leader may have started tasks of it.
+        # Whether an earlier leader may have started tasks of the job.
         self.may_have_begun = False
         self.task_by_id: dict[TaskId, PlannedTask] = {}
         # Tasks that wait for a start, by step.
         self.waiting_by_step: list[list[PlannedTask]] = []
-        self._left_by_step: list[int] = []
-        # The longest run that was done, by step, seconds.
+        self._remaining_by_step: list[int] = []
+        # Longest successful run of each step, seconds.
         self.longest_done_s: list[float | None] = [None] * len(job.steps)
         self.expected_s: tuple[float, ...] = tuple(
             run_times.expected_s(job.queue, step.estimate_ms)
@@ -64,21 +64,21 @@
             ]
             self.task_by_id.update({task.task: task for task in tasks})
             self.waiting_by_step.append(tasks)
-            self._left_by_step.append(step.tasks)
-        self._after_s = _chains_after(job, self.expected_s)
-        chain_s = max(
+            self._remaining_by_step.append(step.tasks)
+        self._after_s = _critical_path_after(job, self.expected_s)
+        critical_path_s = max(
             own + after
             for own, after in zip(self.expected_s, self._after_s, strict=True)
         )
         self.objective_s: Final = (
-            job.stretch * chain_s + job.latency_allowance_ms / 1000
+            job.stretch * critical_path_s + job.latency_allowance_ms / 1000
         )
 
     @classmethod
     def from_unfinished(
         cls, unfinished: UnfinishedJob, arrived_at: float, run_times: RunTimes
     ) -> 'JobPlan':
-        """Plan what an earlier leader has left."""
+        """Plan the remaining work of a job that an earlier leader accepted."""
         plan = cls(unfinished.job, arrived_at, run_times)
         for (step, index), runs in unfinished.failed_runs_by_task.items():
             task = plan.task_by_id[TaskId(plan.job.job_id, step, index)]
@@ -90,37 +90,38 @@
 
     @property
     def is_done(self) -> bool:
-        """Tell whether no task is left."""
+        """Whether every task is done."""
         return not self.task_by_id
 
     @property
     def has_waiting(self) -> bool:
-        """Tell whether a task waits for a start, now or later."""
+        """Whether a task waits to start, now or after another step."""
         return any(self.waiting_by_step)
 
-    def startable(self) -> Iterator[tuple[int, list[PlannedTask]]]:
-        """Yield the steps that may start, with the tasks that wait."""
+    def ready_steps(self) -> Iterator[tuple[int, list[PlannedTask]]]:
+        """Yield each step whose predecessors are done, with waiting tasks."""
         for number, waiting in enumerate(self.waiting_by_step):
             after = self.job.steps[number].after
-            if waiting and not any(self._left_by_step[i] for i in after):
+            if waiting and not any(self._remaining_by_step[i] for i in after):
                 yield number, waiting
 
     def latest_start(self, step: int) -> float:
-        """Return when a step's tasks must start for the job to be on time."""
+        """Return when a step must start for the job to be on time."""
         rest_s = self.expected_s[step] + self._after_s[step]
         return self.arrived_at + self.objective_s - rest_s
 
     def late_limit(self, step: int) -> float:
-        """Return when starting a step's tasks is worth nothing any more.
+        """Return when it becomes useless to start a step's tasks.
 
-        It would end far too late, or when nobody waits for it any more.
+        A job started later would end far past its objective, or after its
+        caller has stopped waiting.
         """
         rest_s = self.expected_s[step] + self._after_s[step]
-        worthless_at = self.arrived_at + LATE_FACTOR * self.objective_s
-        return min(worthless_at, self.awaited_until) - rest_s
+        expires_at = self.arrived_at + LATE_FACTOR * self.objective_s
+        return min(expires_at, self.awaited_until) - rest_s
 
     def note_started(self, task: PlannedTask, upstream: str, run: int) -> None:
-        """A run was ordered, or was found on an upstream."""
+        """Record a run that was ordered, or was found on an upstream."""
         waiting = self.waiting_by_step[task.task.step]
         if task in waiting:
             waiting.remove(task)
@@ -129,39 +130,39 @@
         self.has_started = True
 
     def task_core_s(self, step: int) -> float:
-        """Return the expected work of one task of a step, core-seconds."""
+        """Return the expected work of one task of a step in core-seconds."""
         cores = self.job.steps[step].demand.cpu_millicores / 1000
         return self.expected_s[step] * cores
 
     def note_run_time(self, step: int, run_s: float) -> None:
-        """A run of a step was done after so many seconds."""
-        held = self.longest_done_s[step]
-        self.longest_done_s[step] = max(held or 0.0, run_s)
+        """Record the duration of a successful run of a step in seconds."""
+        longest_s = self.longest_done_s[step]
+        self.longest_done_s[step] = max(longest_s or 0.0, run_s)
 
     def note_gone(self, task: PlannedTask) -> None:
-        """The task's run is over without being done: it waits again."""
+        """Let a task wait again after a run that ended without success."""
         if task.upstream:
             task.upstream = ''
             self.waiting_by_step[task.task.step].append(task)
 
     def note_done(self, task_id: TaskId) -> None:
-        """A task is done."""
+        """Record that a task is done; a repeated call has no effect."""
         task = self.task_by_id.pop(task_id, None)
         if task is None:
             return
-        self._left_by_step[task_id.step] -= 1
+        self._remaining_by_step[task_id.step] -= 1
         self.has_started = True
         if not task.upstream:
             self.waiting_by_step[task_id.step].remove(task)
 
 
-def _chains_after(
+def _critical_path_after(
     job: AcceptedJob, expected_s: tuple[float, ...]
 ) -> list[float]:
-    """Return the longest chain of work after each step, seconds."""
+    """Return the length of the critical path after each step, seconds."""
     after_s = [0.0] * len(job.steps)
     for number in range(len(job.steps) - 1, -1, -1):
-        own_s = expected_s[number] + after_s[number]
+        path_s = expected_s[number] + after_s[number]
         for earlier in job.steps[number].after:
-            after_s[earlier] = max(after_s[earlier], own_s)
+            after_s[earlier] = max(after_s[earlier], path_s)
     return after_s
--- a/baobabgap/scheduling/_planner.py
+++ b/baobabgap/scheduling/_planner.py
@@ -1,8 +1,7 @@
-"""Which waiting task starts next, and where.
+"""Order of starts, and placement of tasks on upstreams.
 
-This answers a load at which more tasks wait than there is room: jobs
-that can still be on time go before those that can't, and among them the
-one that must start first.
+When more tasks wait than fit, jobs that can still be on time start before
+those that can't, and among them the one with the earliest latest start.
 """
 
 from collections import Counter
@@ -13,20 +12,20 @@
 from baobabgap.accepted import Demand
 from baobabgap.scheduling._job_plan import JobPlan
 from baobabgap.scheduling._job_plan import PlannedTask
-from baobabgap.scheduling._rooms import choose_room
-from baobabgap.scheduling._rooms import Room
-from baobabgap.scheduling._rooms import usable_rooms
+from baobabgap.scheduling._targets import choose_target
+from baobabgap.scheduling._targets import Room
+from baobabgap.scheduling._targets import usable_targets
 
-# What a job needs on top of its run time, seconds: messages and wakes from
-# the order of the start to the answer.
+# Overhead of a job on top of its run time: messages and wake-ups between the
+# start order and the answer.
 _MARGIN_S: Final = 0.02
-# The share of the expected run time by which it is often exceeded.
+# Fraction by which run times often exceed the expected one.
 _MARGIN_SHARE: Final = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """One task is to start in one room."""
+    """A task and the target where it is to start."""
 
     plan: JobPlan
     task: PlannedTask
@@ -34,23 +33,23 @@
 
     @property
     def demand(self) -> Demand:
-        """What the task occupies."""
+        """The resources that the task occupies."""
         return self.plan.job.steps[self.task.task.step].demand
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Urgency:
-    """A place in the order of starts; what is smaller goes first."""
+    """Sort key of the order of starts; the smallest starts first."""
 
-    # 0 if it can be on time, 1 if late, 2 if worth nothing any more.
+    # 0 if the job can be on time, 1 if late, 2 if no longer worth running.
     lateness: int
-    # When the tasks must start for the job to be on time, seconds.
+    # Time at which the tasks must start for the job to be on time, seconds.
     latest_start: float
 
 
 @dataclass(frozen=True, slots=True)
-class _StepInLine:
-    """A step of a job whose tasks wait."""
+class _WaitingStep:
+    """A step that may start and has waiting tasks."""
 
     urgency: Urgency
     plan: JobPlan
@@ -59,37 +58,40 @@
 
 def plan_starts(
     plans: Iterable[JobPlan],
-    rooms_by_service: dict[str, list[Room]],
+    targets_by_service: dict[str, list[Room]],
     far_factor: float,
     now: float,
 ) -> list[Placement]:
-    """Choose rooms for as many waiting tasks as fit, the most urgent first.
+    """Place as many waiting tasks as fit, the most urgent first.
 
-    Rooms and tasks are left as they were; the caller puts the placements
-    into effect.
+    `far_factor` multiplies the run time on an upstream outside the rack of
+    a step's data. Targets and tasks are unchanged on return; the caller
+    carries out the placements.
     """
     placements: list[Placement] = []
-    line = [
-        _StepInLine(urgency_of(plan, step, now), plan, step)
+    waiting_steps = [
+        _WaitingStep(urgency_of(plan, step, now), plan, step)
         for plan in plans
-        for step, _ in plan.startable()
+        for step, _ in plan.ready_steps()
     ]
-    line.sort(key=lambda item: item.urgency)
+    waiting_steps.sort(key=lambda waiting_step: waiting_step.urgency)
     full_services: set[str] = set()
     usable_by_service = {
-        service: usable_rooms(rooms, now)
-        for service, rooms in rooms_by_service.items()
+        service: usable_targets(targets, now)
+        for service, targets in targets_by_service.items()
     }
-    for item in line:
-        service = item.plan.job.service
-        rooms = usable_by_service.get(service, [])
+    for waiting_step in waiting_steps:
+        service = waiting_step.plan.job.service
+        targets = usable_by_service.get(service, [])
         if service in full_services:
             continue
-        placed = _place_step(item, rooms, far_factor, now)
-        placements.extend(placed)
-        waiting = item.plan.waiting_by_step[item.step]
-        if len(placed) < len(waiting) and _is_plain(item):
-            # Whoever is more urgent gets the next room that is free.
+        step_placements = _place_step(waiting_step, targets, far_factor, now)
+        placements.extend(step_placements)
+        waiting = waiting_step.plan.waiting_by_step[waiting_step.step]
+        if len(step_placements) < len(waiting) and _is_unconstrained(
+            waiting_step
+        ):
+            # Less urgent steps must not take the next free capacity.
             full_services.add(service)
     for placement in placements:
         placement.room.release(placement.demand)
@@ -97,7 +99,7 @@
 
 
 def urgency_of(plan: JobPlan, step: int, now: float) -> Urgency:
-    """Return the place of a step's tasks in the order of starts."""
+    """Return the sort key of a step's tasks in the order of starts."""
     latest_start = plan.latest_start(step)
     margin_s = _MARGIN_S + _MARGIN_SHARE * plan.expected_s[step]
     if now <= latest_start - margin_s:
@@ -109,33 +111,45 @@
     return Urgency(lateness, latest_start)
 
 
-def _is_plain(item: _StepInLine) -> bool:
-    """Tell whether the step could use any room of its service."""
-    step = item.plan.job.steps[item.step]
-    waiting = item.plan.waiting_by_step[item.step]
+def _is_unconstrained(waiting_step: _WaitingStep) -> bool:
+    """Return whether the step could run on any upstream of its service."""
+    step = waiting_step.plan.job.steps[waiting_step.step]
+    waiting = waiting_step.plan.waiting_by_step[waiting_step.step]
     avoids = any(task.avoided for task in waiting)
     return not (step.required_label or step.most_per_upstream or avoids)
 
 
 def _place_step(
-    item: _StepInLine, rooms: list[Room], far_factor: float, now: float
+    waiting_step: _WaitingStep,
+    targets: list[Room],
+    far_factor: float,
+    now: float,
 ) -> list[Placement]:
-    plan = item.plan
-    step = plan.job.steps[item.step]
-    used = Counter(
+    plan = waiting_step.plan
+    step = plan.job.steps[waiting_step.step]
+    task_count_by_upstream = Counter(
         task.upstream
         for task in plan.task_by_id.values()
-        if task.upstream and task.task.step == item.step
+        if task.upstream and task.task.step == waiting_step.step
     )
     placements = []
-    for task in plan.waiting_by_step[item.step]:
-        room = choose_room(rooms, step, task.avoided, used, far_factor, now)
-        if room is None and task.avoided:
-            # Better where it failed before than nowhere.
-            room = choose_room(rooms, step, (), used, far_factor, now)
-        if room is None:
+    for task in plan.waiting_by_step[waiting_step.step]:
+        target = choose_target(
+            targets,
+            step,
+            task.avoided,
+            task_count_by_upstream,
+            far_factor,
+            now,
+        )
+        if target is None and task.avoided:
+            # An upstream where the task failed is better than none.
+            target = choose_target(
+                targets, step, (), task_count_by_upstream, far_factor, now
+            )
+        if target is None:
             break
-        room.occupy(step.demand)
-        used[room.name] += 1
-        placements.append(Placement(plan, task, room))
+        target.occupy(step.demand)
+        task_count_by_upstream[target.name] += 1
+        placements.append(Placement(plan, task, target))
     return placements
--- a/baobabgap/scheduling/_run_times.py
+++ b/baobabgap/scheduling/_run_times.py
@@ -1,19 +1,20 @@
-"""Learned run times: how far the submitters' estimates are off."""
+"""Run time estimates, corrected by observed run times."""
 
 from typing import Final
 
-# The share of a new observation in the moving averages.
-_WEIGHT: Final = 0.03
-# Assumed for a task whose submitter gave no estimate, seconds.
-_UNKNOWN_S: Final = 0.5
-_SHORTEST_S: Final = 0.001
+# Weight of a new observation in the exponential moving averages.
+_SMOOTHING_FACTOR: Final = 0.03
+# Used for tasks whose submitter gave no estimate.
+_DEFAULT_ESTIMATE_S: Final = 0.5
+_MIN_ESTIMATE_S: Final = 0.001
 
 
 class RunTimes:
-    """Moving averages of observed over estimated run time.
+    """Moving averages of the ratio of observed to predicted run time.
 
-    They are kept by queue, over all kinds of upstreams, and by kind, over
-    what the queues lead to expect.
+    One average per queue corrects the submitters' estimates over all kinds
+    of upstreams. One per kind of upstream compares its run times with
+    those that the queue's average predicts.
     """
 
     def __init__(self) -> None:
@@ -21,26 +22,30 @@
         self._slowness_by_kind: dict[str, float] = {}
 
     def slowness(self, kind: str) -> float:
-        """Return how long runs take on a kind of upstream; 1 is usual."""
+        """Return the run time factor of a kind of upstream; 1 is average."""
         return self._slowness_by_kind.get(kind, 1.0)
 
     def expected_s(self, queue: str, estimate_ms: int) -> float:
-        """Return the seconds that a task should run on a sound upstream."""
-        estimate_s = estimate_ms / 1000 if estimate_ms else _UNKNOWN_S
+        """Return the expected run time in seconds on a healthy upstream."""
+        estimate_s = estimate_ms / 1000 if estimate_ms else _DEFAULT_ESTIMATE_S
         return estimate_s * self._ratio_by_queue.get(queue, 1.0)
 
     def observe(
         self, queue: str, kind: str, estimate_ms: int, run_s: float
     ) -> None:
-        """Learn from one run that was done."""
-        estimate_s = estimate_ms / 1000 if estimate_ms else _UNKNOWN_S
-        ratio = run_s / max(estimate_s, _SHORTEST_S)
+        """Update the averages with one successful run."""
+        estimate_s = estimate_ms / 1000 if estimate_ms else _DEFAULT_ESTIMATE_S
+        ratio = run_s / max(estimate_s, _MIN_ESTIMATE_S)
         expected = self._ratio_by_queue.get(queue, 1.0)
-        _move(self._ratio_by_queue, queue, ratio)
-        _move(self._slowness_by_kind, kind, ratio / expected)
-
-
-def _move(average_by_key: dict[str, float], key: str, value: float) -> None:
-    held = average_by_key.get(key, 1.0)
-    # One straggler moves an average by no more than three fold.
-    average_by_key[key] = held + _WEIGHT * (min(value, 3 * held) - held)
+        _update_average(self._ratio_by_queue, queue, ratio)
+        _update_average(self._slowness_by_kind, kind, ratio / expected)
+
+
+def _update_average(
+    average_by_key: dict[str, float], key: str, value: float
+) -> None:
+    average = average_by_key.get(key, 1.0)
+    # Limits an outlier to three times the average.
+    average_by_key[key] = average + _SMOOTHING_FACTOR * (
+        min(value, 3 * average) - average
+    )
--- a/baobabgap/scheduling/tests/load_player.py
+++ b/baobabgap/scheduling/tests/load_player.py
@@ -1,4 +1,4 @@
-"""Plays a load through the decisions, with runs that take their time."""
+"""Discrete-event simulation of the scheduling policies under a load."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -24,60 +24,60 @@
 
 SERVICE = 'service'
 CORES_PER_TASK = 3
-# Tasks, seconds of each, and jobs a second of each kind of job.
-KINDS = ((8, 0.12, 17.0), (4, 1.8, 3.0), (2, 0.4, 50.0))
+# Of each kind of job: tasks, run time of a task in seconds, jobs per second.
+JOB_KINDS = ((8, 0.12, 17.0), (4, 1.8, 3.0), (2, 0.4, 50.0))
 STRETCH = 1.6
 ALLOWANCE_MS = 60
-# How far a submitter's estimate may be off, either way.
+# Largest relative error of a submitter's estimate, either way.
 ESTIMATE_ERROR = 0.4
-ROOMS = 11
-TASKS_IN_ROOM = 10
+UPSTREAMS = 11
+TASKS_PER_UPSTREAM = 10
 
-Order = Callable[
+StartOrder = Callable[
     [Iterable[JobPlan], dict[str, list[Room]], float], list[Placement]
 ]
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A job comes in."""
+    """The arrival of a job."""
 
     at: float
     job: AcceptedJob
-    # Seconds that each of its tasks really takes.
+    # Actual run time of each of its tasks.
     run_s: float
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What callers got."""
+    """Counts of jobs by how they ended for their callers."""
 
     on_time: int = 0
     late: int = 0
-    never: int = 0
+    unfinished: int = 0
     refused: int = 0
     on_time_by_second: dict[int, int] = field(default_factory=dict)
 
     @property
     def share_on_time(self) -> float:
-        """The share of all jobs that ended in time."""
+        """The fraction of all jobs that ended on time."""
         ended = self.on_time + self.late
-        return self.on_time / (ended + self.never + self.refused)
+        return self.on_time / (ended + self.unfinished + self.refused)
 
 
 def make_trace(
-    seconds: float, factor: Callable[[float], float], seed: int
+    seconds: float, rate_factor: Callable[[float], float], seed: int
 ) -> list[Arrival]:
-    """Return arrivals whose rate is `factor` times the usual one."""
-    draw = random.Random(seed)
+    """Return arrivals at `rate_factor` times the normal rate."""
+    rng = random.Random(seed)
     arrivals = []
     numbers = itertools.count()
-    for tasks, run_s, per_s in KINDS:
+    for tasks, run_s, jobs_per_s in JOB_KINDS:
         at = 0.0
         while at < seconds:
-            at += draw.expovariate(per_s * max(0.01, factor(at)))
-            true_s = run_s * draw.uniform(0.7, 1.3)
-            error = draw.uniform(1 - ESTIMATE_ERROR, 1 + ESTIMATE_ERROR)
+            at += rng.expovariate(jobs_per_s * max(0.01, rate_factor(at)))
+            actual_run_s = run_s * rng.uniform(0.7, 1.3)
+            error = rng.uniform(1 - ESTIMATE_ERROR, 1 + ESTIMATE_ERROR)
             job = AcceptedJob(
                 f'{next(numbers)}',
                 f'{tasks}',
@@ -91,50 +91,52 @@
                     Step(
                         tasks,
                         Demand(1000 * CORES_PER_TASK, 1, 0),
-                        int(1000 * true_s * error),
+                        int(1000 * actual_run_s * error),
                     ),
                 ),
                 0,
                 1,
                 True,
             )
-            arrivals.append(Arrival(at, job, true_s))
+            arrivals.append(Arrival(at, job, actual_run_s))
     return sorted(arrivals, key=lambda arrival: arrival.at)
 
 
 def urgent_first(
-    plans: Iterable[JobPlan], rooms: dict[str, list[Room]], now: float
+    plans: Iterable[JobPlan], targets: dict[str, list[Room]], now: float
 ) -> list[Placement]:
-    """Order as the product does."""
-    return plan_starts(plans, rooms, 1.0, now)
+    """Start tasks by urgency, as the scheduler does."""
+    return plan_starts(plans, targets, 1.0, now)
 
 
 def first_come(
-    plans: Iterable[JobPlan], rooms: dict[str, list[Room]], now: float
+    plans: Iterable[JobPlan], targets: dict[str, list[Room]], now: float
 ) -> list[Placement]:
-    """Serve jobs in the order in which they came."""
+    """Start tasks in the order in which their jobs arrived."""
     placements: list[Placement] = []
-    taken: list[tuple[Room, Demand]] = []
+    occupied: list[tuple[Room, Demand]] = []
     for plan in plans:
-        placed = plan_starts([plan], rooms, 1.0, now)
-        for placement in placed:
+        plan_placements = plan_starts([plan], targets, 1.0, now)
+        for placement in plan_placements:
             placement.room.occupy(placement.demand)
-            taken.append((placement.room, placement.demand))
-        placements.extend(placed)
-        if plan.has_waiting and len(placed) < len(plan.waiting_by_step[0]):
+            occupied.append((placement.room, placement.demand))
+        placements.extend(plan_placements)
+        if plan.has_waiting and len(plan_placements) < len(
+            plan.waiting_by_step[0]
+        ):
             break
-    for room, demand in taken:
-        room.release(demand)
+    for target, demand in occupied:
+        target.release(demand)
     return placements
 
 
-def in_order(prospect: Prospect) -> Prospect:
-    """Admit as the product does: by the work that goes before a job."""
+def by_work_ahead(prospect: Prospect) -> Prospect:
+    """Admit by the work that starts before a job, as the scheduler does."""
     return prospect
 
 
-def by_all_that_waits(prospect: Prospect) -> Prospect:
-    """Admit as if a job had to wait for everything that came before it."""
+def by_total_backlog(prospect: Prospect) -> Prospect:
+    """Admit as if a job had to wait for the whole backlog."""
     return replace(
         prospect,
         ahead_core_s=prospect.total_core_s,
@@ -143,68 +145,68 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusing:
-    """How the player's admission works."""
+class AdmissionOptions:
+    """How the simulated admission works."""
 
-    view: Callable[[Prospect], Prospect] = in_order
-    # Seconds between upstreams that come back, one after the other, when
-    # an outage is over; all are there at once with 0.
+    transform: Callable[[Prospect], Prospect] = by_work_ahead
+    # Seconds between the returns of successive upstreams after an outage;
+    # with 0 all return at once.
     return_gap_s: float = 0.0
-    # Whether the admission counts on those that are still missing.
-    expects_return: bool = True
+    # Whether admission counts the upstreams that have not returned yet.
+    counts_returning: bool = True
 
 
-class LoadPlayer:
-    """Rooms with runs that end; an outage keeps all starts back.
+class LoadSimulator:
+    """Simulates upstreams and their runs; nothing starts in an outage.
 
-    Without `refusing` every job is taken; with it the admission decides,
-    except in an outage, when nobody is there to refuse.
+    Without `admission` every job is admitted. With it, jobs that arrive in
+    an outage are still all admitted, as no scheduler is there to refuse.
     """
 
     def __init__(
         self,
-        order: Order,
+        order: StartOrder,
         outage: tuple[float, float] = (0.0, 0.0),
-        refusing: Refusing | None = None,
+        admission: AdmissionOptions | None = None,
     ) -> None:
         self._order = order
         self._outage = outage
-        self._refusing = refusing
-        capacity = Demand(1000 * CORES_PER_TASK * TASKS_IN_ROOM, 1000, 0)
-        self._rooms = [
+        self._admission = admission
+        capacity = Demand(1000 * CORES_PER_TASK * TASKS_PER_UPSTREAM, 1000, 0)
+        self._targets = [
             Room(f'r{number}', SERVICE, 'z', (), capacity, capacity)
-            for number in range(ROOMS)
+            for number in range(UPSTREAMS)
         ]
         self._plans: dict[str, JobPlan] = {}
         self._run_s: dict[str, float] = {}
         self._outcome = Outcome()
-        self._numbers = itertools.count()
-        # Time, tie-breaker, what happens then.
+        self._event_numbers = itertools.count()
+        # Time, tie-breaker and action of each event.
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
 
-    def play(self, trace: list[Arrival]) -> Outcome:
-        """Play a trace to its end."""
+    def run(self, trace: list[Arrival]) -> Outcome:
+        """Simulate a trace to its end."""
         for arrival in trace:
-            self._at(arrival.at, self._arrive(arrival))
-        self._at(self._outage[1], lambda now: None)
-        if self._refusing is not None:
-            self._plan_return(self._refusing.return_gap_s)
-        for now in self._steps():
+            self._schedule(arrival.at, self._make_arrival(arrival))
+        self._schedule(self._outage[1], lambda now: None)
+        if self._admission is not None:
+            self._schedule_outage(self._admission.return_gap_s)
+        for now in self._run_events():
             if not self._outage[0] <= now < self._outage[1]:
-                self._start(now)
-        self._outcome.never += len(self._plans)
+                self._start_tasks(now)
+        self._outcome.unfinished += len(self._plans)
         return self._outcome
 
-    def _steps(self) -> Iterator[float]:
+    def _run_events(self) -> Iterator[float]:
         while self._events:
-            now, _, happen = heapq.heappop(self._events)
-            happen(now)
+            now, _, action = heapq.heappop(self._events)
+            action(now)
             yield now
 
-    def _at(self, time: float, happen: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (time, next(self._numbers), happen))
+    def _schedule(self, time: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (time, next(self._event_numbers), action))
 
-    def _arrive(self, arrival: Arrival) -> Callable[[float], None]:
+    def _make_arrival(self, arrival: Arrival) -> Callable[[float], None]:
         def arrive(now: float) -> None:
             job = arrival.job
             plan = JobPlan(job, now, RunTimes())
@@ -216,49 +218,51 @@
 
         return arrive
 
-    def _plan_return(self, gap_s: float) -> None:
-        """Close all rooms in the outage, and open them one by one."""
-        lost_at, back_at = self._outage
-        for number, room in enumerate(self._rooms):
-            self._at(lost_at, _opener(room, is_open=False))
-            again_at = back_at + number * gap_s
-            self._at(again_at, _opener(room, is_open=True))
+    def _schedule_outage(self, gap_s: float) -> None:
+        """Close all targets at the outage, and reopen them one by one."""
+        outage_start, outage_end = self._outage
+        for number, target in enumerate(self._targets):
+            self._schedule(
+                outage_start, _make_open_setter(target, is_open=False)
+            )
+            returns_at = outage_end + number * gap_s
+            self._schedule(returns_at, _make_open_setter(target, is_open=True))
 
     def _is_refused(self, plan: JobPlan, now: float) -> bool:
-        refusing = self._refusing
-        if refusing is None or self._outage[0] <= now < self._outage[1]:
+        admission = self._admission
+        if admission is None or self._outage[0] <= now < self._outage[1]:
             return False
         backlog = Backlog.from_plans(self._plans.values(), now)
         prospect = Prospect.from_backlog(backlog, plan, now)
-        missing = sum(1 for room in self._rooms if not room.is_open)
+        closed = sum(1 for target in self._targets if not target.is_open)
         refusal = admit(
-            self._rooms,
+            self._targets,
             plan.job.steps,
-            refusing.view(prospect),
-            missing if refusing.expects_return else 0,
+            admission.transform(prospect),
+            closed if admission.counts_returning else 0,
         )
         return refusal is not None
 
-    def _start(self, now: float) -> None:
-        rooms = {SERVICE: self._rooms}
+    def _start_tasks(self, now: float) -> None:
+        targets = {SERVICE: self._targets}
         waiting = [plan for plan in self._plans.values() if plan.has_waiting]
-        for placement in self._order(waiting, rooms, now):
+        for placement in self._order(waiting, targets, now):
             placement.room.occupy(placement.demand)
             placement.plan.note_started(placement.task, placement.room.name, 1)
             run_s = self._run_s[placement.plan.job.job_id]
-            self._at(now + run_s, self._end(placement))
+            self._schedule(now + run_s, self._make_task_end(placement))
 
-    def _end(self, placement: Placement) -> Callable[[float], None]:
+    def _make_task_end(self, placement: Placement) -> Callable[[float], None]:
         def end(now: float) -> None:
             plan = placement.plan
             placement.room.release(placement.demand)
             plan.note_done(placement.task.task)
             if plan.is_done:
-                self._close(plan, now)
+                self._record_job_end(plan, now)
 
         return end
 
-    def _close(self, plan: JobPlan, now: float) -> None:
+    def _record_job_end(self, plan: JobPlan, now: float) -> None:
         job_id = plan.job.job_id
         del self._plans[job_id]
         objective_s = STRETCH * self._run_s[job_id] + ALLOWANCE_MS / 1000
@@ -271,8 +275,10 @@
             self._outcome.late += 1
 
 
-def _opener(room: Room, *, is_open: bool) -> Callable[[float], None]:
+def _make_open_setter(
+    target: Room, *, is_open: bool
+) -> Callable[[float], None]:
     def set_open(now: float) -> None:
-        room.is_open = is_open
+        target.is_open = is_open
 
     return set_open
--- a/baobabgap/scheduling/tests/test_decisions.py
+++ b/baobabgap/scheduling/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Order, placing, health and admission, without network or clock."""
+"""Tests of the order of starts, placement, health and admission."""
 
 import unittest
 
@@ -14,8 +14,8 @@
 from baobabgap.scheduling import plan_starts
 from baobabgap.scheduling import Prospect
 from baobabgap.scheduling import Room
-from baobabgap.scheduling import RoomHealth
 from baobabgap.scheduling import RunTimes
+from baobabgap.scheduling import TargetHealth
 from baobabgap.scheduling._planner import urgency_of
 
 TASK = Demand(1000, 64, 0)
@@ -34,18 +34,18 @@
     return JobPlan(make_job(job_id, steps), arrived_at, RunTimes())
 
 
-def make_room(name: str, cores: int = 2, kind: str = 'a') -> Room:
+def make_target(name: str, cores: int = 2, kind: str = 'a') -> Room:
     capacity = Demand(1000 * cores, 1024, 0)
     return Room(name, SERVICE, 'zone', (kind, 'rack'), capacity, capacity)
 
 
-def waiting(core_s: float) -> Prospect:
-    """Return what a job sees that must wait for all the work there is."""
+def make_prospect(core_s: float) -> Prospect:
+    """Return the input for a job that must wait for the whole backlog."""
     return Prospect(core_s, core_s, 1.0, 1.0)
 
 
-def starts(
-    plans: list[JobPlan], rooms: list[Room], now: float = 0.0
+def planned_starts(
+    plans: list[JobPlan], targets: list[Room], now: float = 0.0
 ) -> list[tuple[str, int, str]]:
     return [
         (
@@ -53,7 +53,7 @@
             placement.task.task.index,
             placement.room.name,
         )
-        for placement in plan_starts(plans, {SERVICE: rooms}, 1.5, now)
+        for placement in plan_starts(plans, {SERVICE: targets}, 1.5, now)
     ]
 
 
@@ -63,7 +63,8 @@
         long = make_plan('long', Step(1, TASK, 1000))
         short = make_plan('short', Step(1, TASK, 100))
         self.assertEqual(
-            [('short', 0, 'r')], starts([long, short], [make_room('r', 1)])
+            [('short', 0, 'r')],
+            planned_starts([long, short], [make_target('r', 1)]),
         )
 
     def test_job_that_can_be_on_time_goes_before_a_late_one(self) -> None:
@@ -71,65 +72,71 @@
         fresh = make_plan('fresh', Step(1, TASK, 1000), arrived_at=0.2)
         self.assertEqual(
             [('fresh', 0, 'r')],
-            starts([late, fresh], [make_room('r', 1)], now=0.2),
+            planned_starts([late, fresh], [make_target('r', 1)], now=0.2),
         )
 
-    def test_rooms_are_left_as_they_were(self) -> None:
-        room = make_room('r', 2)
+    def test_planning_does_not_change_targets(self) -> None:
+        target = make_target('r', 2)
         plan = make_plan('a', Step(5, TASK, 100))
-        self.assertEqual(2, len(starts([plan], [room])))
-        self.assertEqual(room.capacity, room.free)
-        self.assertEqual(0, room.running)
+        self.assertEqual(2, len(planned_starts([plan], [target])))
+        self.assertEqual(target.capacity, target.free)
+        self.assertEqual(0, target.running)
 
-    def test_tasks_spread_over_equal_rooms(self) -> None:
-        rooms = [make_room('r1', 4), make_room('r2', 4)]
-        placed = starts([make_plan('a', Step(4, TASK, 100))], rooms)
+    def test_tasks_spread_over_equal_targets(self) -> None:
+        targets = [make_target('r1', 4), make_target('r2', 4)]
+        placed = planned_starts([make_plan('a', Step(4, TASK, 100))], targets)
         self.assertEqual(
             ['r1', 'r1', 'r2', 'r2'], sorted(r for _, _, r in placed)
         )
 
-    def test_faster_kind_first(self) -> None:
-        slow, fast = make_room('slow'), make_room('fast')
+    def test_faster_kind_is_preferred(self) -> None:
+        slow, fast = make_target('slow'), make_target('fast')
         slow.kind_slowness = 1.3
-        placed = starts([make_plan('a', Step(1, TASK, 100))], [slow, fast])
+        placed = planned_starts(
+            [make_plan('a', Step(1, TASK, 100))], [slow, fast]
+        )
         self.assertEqual([('a', 0, 'fast')], placed)
 
-    def test_avoided_room_is_the_last_resort(self) -> None:
+    def test_avoided_target_is_used_only_if_no_other_fits(self) -> None:
         plan = make_plan('a', Step(1, TASK, 100))
         plan.task_by_id[TaskId('a', 0, 0)].avoided.add('r1')
-        rooms = [make_room('r1'), make_room('r2')]
-        self.assertEqual([('a', 0, 'r2')], starts([plan], rooms))
-        self.assertEqual([('a', 0, 'r1')], starts([plan], rooms[:1]))
+        targets = [make_target('r1'), make_target('r2')]
+        self.assertEqual([('a', 0, 'r2')], planned_starts([plan], targets))
+        self.assertEqual([('a', 0, 'r1')], planned_starts([plan], targets[:1]))
 
-    def test_label_and_number_on_one_upstream(self) -> None:
-        rooms = [make_room('r1', 8, 'a'), make_room('r2', 8, 'b')]
-        labelled = make_plan('a', Step(1, TASK, 100, required_label='b'))
-        self.assertEqual([('a', 0, 'r2')], starts([labelled], rooms))
-        spread = make_plan('b', Step(4, TASK, 100, most_per_upstream=1))
-        self.assertEqual(2, len(starts([spread], rooms)))
+    def test_required_label_and_limit_per_upstream(self) -> None:
+        targets = [make_target('r1', 8, 'a'), make_target('r2', 8, 'b')]
+        label_plan = make_plan('a', Step(1, TASK, 100, required_label='b'))
+        self.assertEqual(
+            [('a', 0, 'r2')], planned_starts([label_plan], targets)
+        )
+        limited_plan = make_plan('b', Step(4, TASK, 100, most_per_upstream=1))
+        self.assertEqual(2, len(planned_starts([limited_plan], targets)))
 
     def test_later_step_waits_for_the_earlier_one(self) -> None:
         plan = make_plan(
             'a', Step(1, TASK, 100), Step(1, TASK, 100, after=(0,))
         )
-        self.assertEqual([('a', 0, 'r')], starts([plan], [make_room('r', 4)]))
+        self.assertEqual(
+            [('a', 0, 'r')], planned_starts([plan], [make_target('r', 4)])
+        )
         plan.note_done(TaskId('a', 0, 0))
         (placement,) = plan_starts(
-            [plan], {SERVICE: [make_room('r', 4)]}, 1.5, 0.0
+            [plan], {SERVICE: [make_target('r', 4)]}, 1.5, 0.0
         )
         self.assertEqual(1, placement.task.task.step)
 
-    def test_most_rooms_suspended_means_none_is(self) -> None:
-        rooms = [make_room(f'r{number}') for number in range(4)]
-        for room in rooms[:3]:
-            room.health.note_failed(0.0)
-            room.health.note_failed(0.0)
+    def test_suspensions_are_lifted_if_most_targets_have_one(self) -> None:
+        targets = [make_target(f'r{number}') for number in range(4)]
+        for target in targets[:3]:
+            target.health.note_failed(0.0)
+            target.health.note_failed(0.0)
         plan = make_plan('a', Step(8, TASK, 100))
-        self.assertEqual(8, len(starts([plan], rooms, now=0.1)))
+        self.assertEqual(8, len(planned_starts([plan], targets, now=0.1)))
 
 
 class JobPlanTest(unittest.TestCase):
-    def test_inherited_job_goes_on_where_it_was(self) -> None:
+    def test_inherited_job_keeps_recorded_ends(self) -> None:
         job = make_job('a', (Step(3, TASK, 100),))
         unfinished = UnfinishedJob(job, {(0, 1)}, {(0, 2): {4}})
         plan = JobPlan.from_unfinished(unfinished, 0.0, RunTimes())
@@ -139,7 +146,7 @@
         task = plan.task_by_id[TaskId('a', 0, 2)]
         self.assertEqual(({4}, 4), (task.failed_runs, task.last_run))
 
-    def test_end_that_comes_twice_counts_once(self) -> None:
+    def test_duplicate_task_end_counts_once(self) -> None:
         plan = make_plan('a', Step(2, TASK, 100))
         plan.note_done(TaskId('a', 0, 0))
         plan.note_done(TaskId('a', 0, 0))
@@ -150,39 +157,39 @@
 
 class HealthTest(unittest.TestCase):
     def test_two_failures_in_a_row_suspend(self) -> None:
-        health = RoomHealth()
+        health = TargetHealth()
         self.assertFalse(health.note_failed(0.0))
         self.assertTrue(health.note_failed(0.0))
-        self.assertFalse(health.may_take(0, 0.5))
-        # Then it is tried with one run at a time.
-        self.assertTrue(health.may_take(0, 1.1))
-        self.assertFalse(health.may_take(1, 1.1))
+        self.assertFalse(health.accepts_run(0, 0.5))
+        # After the suspension it gets one run at a time.
+        self.assertTrue(health.accepts_run(0, 1.1))
+        self.assertFalse(health.accepts_run(1, 1.1))
         health.note_done(0.1, 0.1)
-        self.assertTrue(health.may_take(5, 1.2))
+        self.assertTrue(health.accepts_run(5, 1.2))
 
-    def test_success_between_failures_keeps_it_in_use(self) -> None:
-        health = RoomHealth()
+    def test_success_resets_failures_in_row(self) -> None:
+        health = TargetHealth()
         for _ in range(5):
             health.note_failed(0.0)
             health.note_done(0.1, 0.1)
-        self.assertTrue(health.may_take(5, 0.0))
+        self.assertTrue(health.accepts_run(5, 0.0))
 
-    def test_one_hanging_run_does_not_suspend(self) -> None:
-        health = RoomHealth()
+    def test_three_overdue_runs_in_row_suspend(self) -> None:
+        health = TargetHealth()
         self.assertFalse(health.note_overdue(0.0))
         self.assertFalse(health.note_overdue(0.0))
         self.assertTrue(health.note_overdue(0.0))
-        # The next ones find it suspended already.
+        # Further overdue runs find it suspended already.
         self.assertFalse(health.note_overdue(0.1))
 
-    def test_slowness_of_the_kind_is_no_sickness(self) -> None:
-        health = RoomHealth()
+    def test_moderate_slowness_is_no_slowdown(self) -> None:
+        health = TargetHealth()
         for _ in range(100):
             health.note_done(0.15, 0.1)
-        self.assertEqual(1.0, health.sickness)
+        self.assertEqual(1.0, health.slowdown)
         for _ in range(100):
             health.note_done(0.6, 0.1)
-        self.assertGreater(health.sickness, 4)
+        self.assertGreater(health.slowdown, 4)
 
     def test_overdue(self) -> None:
         cases = [
@@ -191,7 +198,7 @@
             (0.6, 0.1, None, True),
             (2.0, 1.0, 0.5, True),
             (1.2, 1.0, 0.5, False),
-            # No sibling makes a run overdue before it should end.
+            # A short sibling lowers no limit below the expected run time.
             (4.3, 6.2, 2.0, False),
         ]
         for run_s, expected_s, sibling_s, overdue in cases:
@@ -200,8 +207,11 @@
                     overdue, is_overdue(run_s, expected_s, sibling_s)
                 )
 
-    def test_task_that_is_longer_than_it_seemed_ends_once(self) -> None:
-        """Regression: it was stopped at the same time in each run."""
+    def test_underestimated_task_can_finish(self) -> None:
+        """Regression: such a task was stopped in every run and never ended.
+
+        The limit did not grow with the runs stopped as overdue before.
+        """
         needed_s, attempt = 5.0, 0
         while is_overdue(needed_s, 0.8, 0.5, attempt):
             attempt += 1
@@ -212,55 +222,61 @@
 class AdmissionTest(unittest.TestCase):
     STEPS = (Step(1, TASK, 100),)
 
-    def test_job_that_would_come_too_late_is_refused(self) -> None:
-        rooms = [make_room('r', 10)]
-        self.assertIsNone(admit(rooms, self.STEPS, waiting(9.0)))
-        refusal = admit(rooms, self.STEPS, waiting(30.0))
+    def test_job_that_would_end_too_late_is_refused(self) -> None:
+        targets = [make_target('r', 10)]
+        self.assertIsNone(admit(targets, self.STEPS, make_prospect(9.0)))
+        refusal = admit(targets, self.STEPS, make_prospect(30.0))
         assert refusal is not None
-        # When the caller comes back the wait is bearable.
+        # After the retry delay the wait is within the patience.
         self.assertGreaterEqual(refusal.retry_after_ms, 2000)
 
-    def test_job_that_goes_before_a_late_backlog_is_taken(self) -> None:
-        rooms = [make_room('r', 10)]
+    def test_job_ahead_of_a_late_backlog_is_admitted(self) -> None:
+        targets = [make_target('r', 10)]
         cases = {
-            'nothing before it': (0.0, True),
-            'as much as it can stand': (3.0, True),
-            'more': (4.0, False),
+            'no work ahead': (0.0, True),
+            'as much as its patience allows': (3.0, True),
+            'more than its patience allows': (4.0, False),
         }
-        for name, (ahead_core_s, is_taken) in cases.items():
+        for name, (ahead_core_s, is_admitted) in cases.items():
             with self.subTest(name):
                 prospect = Prospect(ahead_core_s, 99.0, 0.3, 1.0)
-                refusal = admit(rooms, self.STEPS, prospect)
-                self.assertEqual(is_taken, refusal is None)
+                refusal = admit(targets, self.STEPS, prospect)
+                self.assertEqual(is_admitted, refusal is None)
 
-    def test_late_job_is_served_while_nothing_waits(self) -> None:
+    def test_late_job_is_admitted_without_backlog(self) -> None:
         prospect = Prospect(0.0, 0.0, -2.0, -1.0)
-        self.assertIsNone(admit([make_room('r')], self.STEPS, prospect))
+        self.assertIsNone(admit([make_target('r')], self.STEPS, prospect))
 
     def test_job_that_fits_nowhere_is_refused(self) -> None:
         huge = (Step(1, Demand(99_000, 1, 0), 100),)
-        self.assertIsNotNone(admit([make_room('r')], huge, waiting(0.0)))
+        self.assertIsNotNone(
+            admit([make_target('r')], huge, make_prospect(0.0))
+        )
 
-    def test_closed_rooms_are_no_capacity(self) -> None:
-        closed = make_room('r1', 10)
+    def test_closed_targets_do_not_count_as_capacity(self) -> None:
+        closed = make_target('r1', 10)
         closed.is_open = False
-        rooms = [closed, make_room('r2', 1)]
-        self.assertIsNotNone(admit(rooms, self.STEPS, waiting(5.0)))
-
-    def test_upstreams_that_return_count_already(self) -> None:
-        """Just after an outage few of them have been heard again."""
-        rooms = [make_room('r1', 10), make_room('r2', 10)]
-        self.assertIsNotNone(admit(rooms, self.STEPS, waiting(100.0)))
-        self.assertIsNone(admit(rooms, self.STEPS, waiting(100.0), 9))
-        refusal = admit(rooms, self.STEPS, waiting(200.0), 8)
+        targets = [closed, make_target('r2', 1)]
+        self.assertIsNotNone(admit(targets, self.STEPS, make_prospect(5.0)))
+
+    def test_returning_upstreams_count_as_capacity(self) -> None:
+        """Jobs must not be refused just because upstreams are returning.
+
+        Just after an outage few of them have reported again, so that the
+        capacity looks small and the expected wait long.
+        """
+        targets = [make_target('r1', 10), make_target('r2', 10)]
+        self.assertIsNotNone(admit(targets, self.STEPS, make_prospect(100.0)))
+        self.assertIsNone(admit(targets, self.STEPS, make_prospect(100.0), 9))
+        refusal = admit(targets, self.STEPS, make_prospect(200.0), 8)
         assert refusal is not None
         self.assertLess(refusal.retry_after_ms, 1500)
 
 
 class LateLimitTest(unittest.TestCase):
-    """When a job that waits is worth nothing any more."""
+    """The time from which starting a waiting job is useless."""
 
-    def test_no_later_than_somebody_waits_for_it(self) -> None:
+    def test_limited_by_the_time_the_caller_waits(self) -> None:
         # Its objective is 1.66 s, three times of which is 4.98 s.
         plan = make_plan('a', Step(1, TASK, 1000))
         self.assertAlmostEqual(3.98, plan.late_limit(0))
@@ -268,42 +284,42 @@
         self.assertAlmostEqual(1.5, plan.late_limit(0))
 
     def test_job_that_would_outlast_its_caller_is_refused(self) -> None:
-        rooms = [make_room('r', 10)]
+        targets = [make_target('r', 10)]
         steps = (Step(1, TASK, 1000),)
         plan = make_plan('a', *steps)
         backlog = Backlog([(urgency_of(plan, 0, 0.0), 20.0)], 0.0)
         prospect = Prospect.from_backlog(backlog, plan, 0.0)
-        self.assertIsNone(admit(rooms, steps, prospect))
+        self.assertIsNone(admit(targets, steps, prospect))
         plan.awaited_until = 2.5
         prospect = Prospect.from_backlog(backlog, plan, 0.0)
-        self.assertIsNotNone(admit(rooms, steps, prospect))
+        self.assertIsNotNone(admit(targets, steps, prospect))
 
 
 class BacklogTest(unittest.TestCase):
-    """Work that goes before a job, in the order of starts."""
+    """The work that starts before a job."""
 
     STEP = Step(1, TASK, 100)
 
-    def test_late_work_goes_behind(self) -> None:
+    def test_late_work_is_not_ahead_of_a_new_job(self) -> None:
         late = make_plan('late', self.STEP, arrived_at=0.0)
-        soon = make_plan('soon', self.STEP, arrived_at=9.95)
-        backlog = Backlog.from_plans([late, soon], 10.0)
+        on_time = make_plan('on_time', self.STEP, arrived_at=9.95)
+        backlog = Backlog.from_plans([late, on_time], 10.0)
         new = make_plan('new', self.STEP, arrived_at=10.0)
-        one_s = new.task_core_s(0)
-        self.assertAlmostEqual(2 * one_s, backlog.total_core_s)
-        self.assertAlmostEqual(one_s, backlog.ahead_core_s(new))
+        task_core_s = new.task_core_s(0)
+        self.assertAlmostEqual(2 * task_core_s, backlog.total_core_s)
+        self.assertAlmostEqual(task_core_s, backlog.ahead_core_s(new))
 
-    def test_what_came_in_since_counts(self) -> None:
+    def test_added_job_counts(self) -> None:
         backlog = Backlog.from_plans([], 10.0)
         backlog.add(make_plan('first', self.STEP, arrived_at=9.95))
         new = make_plan('new', self.STEP, arrived_at=10.0)
-        one_s = new.task_core_s(0)
-        self.assertAlmostEqual(one_s, backlog.ahead_core_s(new))
-        self.assertAlmostEqual(one_s, backlog.total_core_s)
+        task_core_s = new.task_core_s(0)
+        self.assertAlmostEqual(task_core_s, backlog.ahead_core_s(new))
+        self.assertAlmostEqual(task_core_s, backlog.total_core_s)
 
 
 class RunTimesTest(unittest.TestCase):
-    def test_learns_queue_and_kind(self) -> None:
+    def test_averages_follow_queue_and_kind(self) -> None:
         times = RunTimes()
         for _ in range(400):
             times.observe('queue', 'fast', 100, 0.2)
@@ -313,7 +329,7 @@
             2.0, times.slowness('slow') / times.slowness('fast'), delta=0.2
         )
 
-    def test_one_straggler_moves_little(self) -> None:
+    def test_outlier_has_little_effect(self) -> None:
         times = RunTimes()
         times.observe('queue', 'a', 100, 60.0)
         self.assertLess(times.expected_s('queue', 100), 0.11)
--- a/baobabgap/scheduling/tests/test_played_load.py
+++ b/baobabgap/scheduling/tests/test_played_load.py
@@ -1,20 +1,20 @@
-"""What callers get under the loads that the decisions are made for."""
+"""Scheduling policies under simulated loads, against simpler policies."""
 
 import unittest
 
-from baobabgap.scheduling.tests.load_player import by_all_that_waits
+from baobabgap.scheduling.tests.load_player import AdmissionOptions
+from baobabgap.scheduling.tests.load_player import by_total_backlog
+from baobabgap.scheduling.tests.load_player import by_work_ahead
 from baobabgap.scheduling.tests.load_player import first_come
-from baobabgap.scheduling.tests.load_player import in_order
-from baobabgap.scheduling.tests.load_player import LoadPlayer
+from baobabgap.scheduling.tests.load_player import LoadSimulator
 from baobabgap.scheduling.tests.load_player import make_trace
-from baobabgap.scheduling.tests.load_player import Refusing
 from baobabgap.scheduling.tests.load_player import urgent_first
 
 SECONDS = 12.0
 SEEDS = (1, 2)
 
 
-def usual(at: float) -> float:
+def normal_load(at: float) -> float:
     return 1.0
 
 
@@ -26,94 +26,109 @@
     return 1.6
 
 
-def great_burst(at: float) -> float:
+def large_burst(at: float) -> float:
     return 2.5 if 5 <= at < 8 else 1.0
 
 
-def catching_up(at: float) -> float:
+def slight_overload(at: float) -> float:
     return 1.15
 
 
-class PlayedLoadTest(unittest.TestCase):
-    def test_usual_load_is_on_time(self) -> None:
+class SimulatedLoadTest(unittest.TestCase):
+    def test_normal_load_is_on_time(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                trace = make_trace(SECONDS, usual, seed)
-                outcome = LoadPlayer(urgent_first).play(trace)
+                trace = make_trace(SECONDS, normal_load, seed)
+                outcome = LoadSimulator(urgent_first).run(trace)
                 self.assertGreater(outcome.share_on_time, 0.95)
-                self.assertEqual(0, outcome.never)
+                self.assertEqual(0, outcome.unfinished)
 
-    def test_more_are_on_time_than_first_come_first_served(self) -> None:
+    def test_urgency_order_beats_first_come_first_served(self) -> None:
         cases = {'burst': burst, 'overload': overload}
-        for name, factor in cases.items():
+        for name, rate_factor in cases.items():
             for seed in SEEDS:
                 with self.subTest(name, seed=seed):
-                    trace = make_trace(SECONDS, factor, seed)
-                    ours = LoadPlayer(urgent_first).play(trace)
-                    theirs = LoadPlayer(first_come).play(trace)
+                    trace = make_trace(SECONDS, rate_factor, seed)
+                    outcome = LoadSimulator(urgent_first).run(trace)
+                    baseline = LoadSimulator(first_come).run(trace)
                     self.assertGreater(
-                        ours.share_on_time, theirs.share_on_time
+                        outcome.share_on_time, baseline.share_on_time
                     )
 
-    def test_backlog_of_an_outage_does_not_make_what_follows_late(
-        self,
-    ) -> None:
-        """Nothing starts for a second, as after the loss of a leader."""
+    def test_outage_backlog_does_not_delay_later_jobs(self) -> None:
+        """The backlog of an outage must not make the jobs after it late.
+
+        Nothing starts for one second, as after the loss of a leader. If
+        the backlog then starts first, jobs that could be on time wait
+        behind jobs that are late already.
+        """
         outage = (5.0, 6.0)
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                trace = make_trace(SECONDS, usual, seed)
-                ours = LoadPlayer(urgent_first, outage).play(trace)
-                theirs = LoadPlayer(first_come, outage).play(trace)
+                trace = make_trace(SECONDS, normal_load, seed)
+                outcome = LoadSimulator(urgent_first, outage).run(trace)
+                baseline = LoadSimulator(first_come, outage).run(trace)
                 self.assertGreater(
-                    ours.on_time_by_second.get(6, 0),
-                    theirs.on_time_by_second.get(6, 0),
+                    outcome.on_time_by_second.get(6, 0),
+                    baseline.on_time_by_second.get(6, 0),
                 )
                 self.assertGreaterEqual(
-                    ours.share_on_time, theirs.share_on_time
+                    outcome.share_on_time, baseline.share_on_time
                 )
 
     def test_fewer_are_refused_while_upstreams_come_back(self) -> None:
-        """All processes were killed; the agents report in a second."""
+        """Upstreams about to return must count as capacity.
+
+        After all processes were killed, the agents report back within a
+        second. Counting only those that have reported makes the backlog
+        look long and refuses jobs that could be served.
+        """
         outage = (5.0, 7.0)
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                trace = make_trace(SECONDS, usual, seed)
+                trace = make_trace(SECONDS, normal_load, seed)
                 counted, uncounted = (
-                    LoadPlayer(
+                    LoadSimulator(
                         urgent_first,
                         outage,
-                        Refusing(by_all_that_waits, 0.08, expects_return),
-                    ).play(trace)
-                    for expects_return in (True, False)
+                        AdmissionOptions(
+                            by_total_backlog, 0.08, counts_returning
+                        ),
+                    ).run(trace)
+                    for counts_returning in (True, False)
                 )
                 self.assertLess(counted.refused, uncounted.refused)
                 self.assertGreater(counted.on_time, uncounted.on_time)
 
-    def test_more_are_on_time_than_if_all_waited_for_all(self) -> None:
-        """What is late already must not get new jobs refused."""
+    def test_admission_by_work_ahead_beats_total_backlog(self) -> None:
+        """A backlog that is late already must not cause refusals.
+
+        New jobs start before it, so that they need not wait for all of it.
+        """
         cases = {
-            'an outage of three seconds': (usual, (5.0, 8.0)),
-            'a long outage, then more than usual': (catching_up, (5.0, 9.0)),
-            'a burst': (great_burst, (0.0, 0.0)),
+            'three-second outage': (normal_load, (5.0, 8.0)),
+            'long outage, then slight overload': (slight_overload, (5.0, 9.0)),
+            'burst': (large_burst, (0.0, 0.0)),
         }
-        for name, (factor, outage) in cases.items():
+        for name, (rate_factor, outage) in cases.items():
             for seed in SEEDS:
                 with self.subTest(name, seed=seed):
-                    trace = make_trace(SECONDS, factor, seed)
-                    ours, theirs = (
-                        LoadPlayer(urgent_first, outage, Refusing(view)).play(
-                            trace
-                        )
-                        for view in (in_order, by_all_that_waits)
+                    trace = make_trace(SECONDS, rate_factor, seed)
+                    outcome, baseline = (
+                        LoadSimulator(
+                            urgent_first,
+                            outage,
+                            AdmissionOptions(transform),
+                        ).run(trace)
+                        for transform in (by_work_ahead, by_total_backlog)
                     )
-                    self.assertGreater(ours.on_time, theirs.on_time)
-                    self.assertLessEqual(ours.refused, theirs.refused)
+                    self.assertGreater(outcome.on_time, baseline.on_time)
+                    self.assertLessEqual(outcome.refused, baseline.refused)
 
-    def test_all_are_served_in_the_end(self) -> None:
-        """Late ones go last, but they go."""
+    def test_overloaded_scheduler_serves_all_jobs(self) -> None:
+        """Late jobs start last, but must not starve."""
         trace = make_trace(SECONDS, overload, 1)
-        self.assertEqual(0, LoadPlayer(urgent_first).play(trace).never)
+        self.assertEqual(0, LoadSimulator(urgent_first).run(trace).unfinished)
 
 
 if __name__ == '__main__':
