--- a/baobabgap/accepted/__init__.py
+++ b/baobabgap/accepted/__init__.py
@@ -1,4 +1,4 @@
-"""Durably accepted jobs and the configuration, as replicated state."""
+"""Replicated state of durably accepted jobs and of the configuration."""
 
 from baobabgap.accepted._commands import AcceptJobs
 from baobabgap.accepted._commands import CancelAccepted
--- a/baobabgap/accepted/_commands.py
+++ b/baobabgap/accepted/_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the accepted jobs' state, as the replicated log holds them."""
+"""Commands and snapshot of the accepted jobs, as stored in the log."""
 
 from dataclasses import dataclass
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptJobs:
-    """Keep jobs; one that is known already stays as it is."""
+    """Store jobs; a job that is known already is left unchanged."""
 
     jobs: tuple[AcceptedJob, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class NoteEnds:
-    """Keep the ends of runs; ends of unknown jobs change nothing."""
+    """Record the ends of runs; those of unknown jobs have no effect."""
 
     ends: tuple[TaskEnd, ...]
     # Milliseconds since 1970 on the leader's clock.
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAccepted:
-    """Cancel jobs that have not ended."""
+    """Cancel jobs; those that have ended or are unknown stay unchanged."""
 
     job_ids: tuple[str, ...]
     now_ms: int
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PutConfiguration:
-    """Put a configuration in force unless a higher version is."""
+    """Activate a configuration, unless one at least as new is active."""
 
     configuration: QueueConfiguration
 
 
 @dataclass(frozen=True, slots=True)
 class EnrolMembers:
-    """Remember agents that may hold runs, and entries that may hold calls.
+    """Add agents that may hold runs, and entries that may hold calls.
 
     Names are `agent/name` and `entry/name/incarnation`.
     """
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DismissMembers:
-    """Forget members that certainly hold nothing of an earlier term."""
+    """Remove members that cannot hold anything of an earlier term."""
 
     names: tuple[str, ...]
 
@@ -80,13 +80,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedSnapshot:
-    """The whole state."""
+    """The complete state in a snapshot."""
 
     configuration: QueueConfiguration | None
     jobs: tuple[StoredJob, ...]
     ended: tuple[StoredEnd, ...]
     members: tuple[str, ...]
-    # The latest time that a command carried.
+    # The latest time in any command, milliseconds since 1970.
     now_ms: int
 
 
--- a/baobabgap/accepted/_model.py
+++ b/baobabgap/accepted/_model.py
@@ -1,11 +1,11 @@
-"""Accepted jobs: what was asked for, and how far it has come."""
+"""Accepted jobs with their steps and tasks, and how runs end."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class JobState(StrEnum):
-    """How a caller sees a job."""
+    """The state of a job as reported to callers."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -18,15 +18,15 @@
     """How a run of a task ended."""
 
     DONE = 'done'
-    # The task or its upstream was at fault: counts as an attempt.
+    # A fault of the task or its upstream: counts as an attempt.
     FAILED = 'failed'
-    # Stopped by order, or its lease ran out: doesn't count.
+    # Stopped on request, or its lease expired: doesn't count as an attempt.
     INTERRUPTED = 'interrupted'
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a task occupies on its upstream, or what there is of it."""
+    """Resources that a task occupies, or that an upstream has."""
 
     # Thousandths of a processor core.
     cpu_millicores: int = 0
@@ -34,7 +34,7 @@
     accelerators: int = 0
 
     def plus(self, other: 'Demand') -> 'Demand':
-        """Add two demands."""
+        """Return the sum of two demands."""
         return Demand(
             self.cpu_millicores + other.cpu_millicores,
             self.memory_mb + other.memory_mb,
@@ -42,7 +42,7 @@
         )
 
     def minus(self, other: 'Demand') -> 'Demand':
-        """Subtract a demand; the rest may be negative."""
+        """Return the difference of two demands, which may be negative."""
         return Demand(
             self.cpu_millicores - other.cpu_millicores,
             self.memory_mb - other.memory_mb,
@@ -50,7 +50,7 @@
         )
 
     def fits_in(self, free: 'Demand') -> bool:
-        """Tell whether every part fits."""
+        """Return whether every resource fits in `free`."""
         return (
             self.cpu_millicores <= free.cpu_millicores
             and self.memory_mb <= free.memory_mb
@@ -60,17 +60,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Equal tasks of a job that may start together."""
+    """Identical tasks of a job that may run in parallel."""
 
     tasks: int
     demand: Demand
-    # The submitter's rough guess of one task's duration, milliseconds.
+    # The submitter's rough estimate of one task's duration, milliseconds.
     estimate_ms: int = 0
-    # Earlier steps, by position, that must be done first.
+    # Positions of the earlier steps that must be done first.
     after: tuple[int, ...] = ()
-    # A label that the upstream must carry, or empty.
+    # A label that the upstream must have, or empty.
     required_label: str = ''
-    # The rack where the input lies, or empty.
+    # The rack that stores the input, or empty.
     data_rack: str = ''
     # At most this many tasks of the step on one upstream; 0 for no limit.
     most_per_upstream: int = 0
@@ -78,31 +78,31 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedJob:
-    """A job as it was accepted; nothing in it changes afterwards."""
+    """A job as it was accepted; immutable from then on."""
 
     job_id: str
-    # What the queue said at that time.
+    # The queue and its settings at that time.
     queue: str
     service: str
     priority: int
     attempts: int
     stretch: float
     latency_allowance_ms: int
-    # Opaque input that each start hands to the upstream.
+    # Opaque input that each start sends to the upstream.
     payload: str
     steps: tuple[Step, ...]
     # Milliseconds since 1970 on the accepting leader's clock.
     accepted_ms: int
     # The term of the leader that accepted it.
     term: int
-    # Whether it lives in the leader's memory only: its caller waits for
-    # its end, and hands it in again if the answer doesn't come.
+    # Whether the job is in the leader's memory only: its caller waits for
+    # the end, and submits it again if no answer arrives.
     is_volatile: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class TaskId:
-    """One task of a job."""
+    """Identifies one task of a job by its step and its index there."""
 
     job_id: str
     step: int
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskEnd:
-    """One run of a task has ended."""
+    """The end of one run of a task."""
 
     task: TaskId
     run: int
--- a/baobabgap/accepted/_state.py
+++ b/baobabgap/accepted/_state.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class UnfinishedJob:
-    """An accepted job with the ends that are durable."""
+    """An accepted job with the durable ends of its runs."""
 
     job: AcceptedJob
     done: set[tuple[int, int]] = field(default_factory=set)
@@ -37,7 +37,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether every task is done."""
+        """Whether every task is done."""
         return len(self.done) == sum(step.tasks for step in self.job.steps)
 
     def failed_runs(self, task: TaskId) -> int:
@@ -48,34 +48,41 @@
 
 @dataclass(frozen=True, slots=True)
 class JobEnd:
-    """A job has reached its last state."""
+    """The final state of a job."""
 
     job_id: str
     state: JobState
 
 
 class AcceptedState:
-    """Applies the commands; see `StateMachine` of the replication.
+    """Implements `StateMachine` of the replication for accepted jobs.
 
-    Retention of ended jobs is counted in the time that the commands
-    carry, so that every host forgets the same jobs. Call all methods and
-    read all fields from the task that applies, or through a read barrier.
+    The retention of ended jobs is measured by the times in the commands,
+    so that every host drops the same jobs. Methods must be called and
+    attributes read by the task that applies commands, or through a read
+    barrier. `retention_ms` is the time for which an ended job is kept.
     """
 
     def __init__(self, retention_ms: int) -> None:
         self._retention_ms: Final = retention_ms
         self.configuration: QueueConfiguration | None = None
         self.unfinished_by_id: dict[str, UnfinishedJob] = {}
-        # Oldest end first.
+        # In the order in which the jobs ended, the oldest first.
         self.ended_by_id: dict[str, StoredEnd] = {}
         # Agents and entries, as `role/name`.
         self.members: set[str] = set()
         self.now_ms = 0
-        # Called after each configuration that comes into force.
-        self.on_configuration: Callable[[QueueConfiguration], None] = _ignore
+        # Called with each configuration that becomes active.
+        self.on_configuration: Callable[[QueueConfiguration], None] = (
+            _ignore_configuration
+        )
 
     def apply(self, index: int, command: bytes) -> Any:
-        """Apply one command and return what it changed."""
+        """Apply one encoded command.
+
+        Return the `JobEnd` list of a `NoteEnds`, else None. Raise
+        `ValueError` for a message that is no command of this state.
+        """
         for message in decode(command, peer='log'):
             return self._apply(message)
         return None
@@ -87,15 +94,15 @@
                     self._accept(job)
                 return None
             case NoteEnds(ends=ends, now_ms=now_ms):
-                self._forget_old(now_ms)
+                self._drop_expired(now_ms)
                 return self._note_ends(ends)
             case CancelAccepted(job_ids=job_ids, now_ms=now_ms):
-                self._forget_old(now_ms)
+                self._drop_expired(now_ms)
                 for job_id in job_ids:
-                    self._end(job_id, JobState.CANCELLED)
+                    self._end_job(job_id, JobState.CANCELLED)
                 return None
             case PutConfiguration(configuration=configuration):
-                self._put(configuration)
+                self._put_configuration(configuration)
                 return None
             case EnrolMembers(names=names):
                 self.members.update(names)
@@ -104,12 +111,14 @@
                 self.members.difference_update(names)
                 return None
             case _:
-                raise ValueError(f'no command: {command!r}')
+                raise ValueError(
+                    f'not a command of the accepted jobs: {command!r}'
+                )
 
     def state_of(self, job_id: str) -> JobState | None:
         """Return the durable state of a job, or None if it is unknown.
 
-        An unfinished job is `QUEUED` here, whether or not it runs.
+        An unfinished job is `QUEUED`, whether or not it runs.
         """
         ended = self.ended_by_id.get(job_id)
         if ended is not None:
@@ -119,13 +128,13 @@
         return None
 
     def snapshot(self) -> bytes:
-        """Pack the whole state."""
+        """Encode the complete state."""
         return encode(
             [
                 AcceptedSnapshot(
                     self.configuration,
                     tuple(
-                        _stored(unfinished)
+                        _to_stored(unfinished)
                         for unfinished in self.unfinished_by_id.values()
                     ),
                     tuple(self.ended_by_id.values()),
@@ -136,10 +145,10 @@
         )
 
     def restore(self, index: int, snapshot: bytes) -> None:
-        """Replace the state by one that `snapshot` packed."""
+        """Replace the state by one that `snapshot` encoded."""
         (stored,) = decode(snapshot, peer='snapshot')
         self.unfinished_by_id = {
-            job.job.job_id: _unfinished(job) for job in stored.jobs
+            job.job.job_id: _from_stored(job) for job in stored.jobs
         }
         self.ended_by_id = {end.job_id: end for end in stored.ended}
         self.members = set(stored.members)
@@ -149,7 +158,7 @@
             self.on_configuration(stored.configuration)
 
     def _accept(self, job: AcceptedJob) -> None:
-        self._forget_old(job.accepted_ms)
+        self._drop_expired(job.accepted_ms)
         if self.state_of(job.job_id) is None:
             self.unfinished_by_id[job.job_id] = UnfinishedJob(job)
 
@@ -158,12 +167,12 @@
         for end in ends:
             state = self._note_end(end)
             if state is not None:
-                self._end(end.task.job_id, state)
+                self._end_job(end.task.job_id, state)
                 job_ends.append(JobEnd(end.task.job_id, state))
         return job_ends
 
     def _note_end(self, end: TaskEnd) -> JobState | None:
-        """Keep one end; return the state if it was the job's last."""
+        """Record one end; return the job's final state if it ends the job."""
         unfinished = self.unfinished_by_id.get(end.task.job_id)
         if unfinished is None:
             return None
@@ -182,21 +191,21 @@
                     return JobState.FAILED
         return None
 
-    def _end(self, job_id: str, state: JobState) -> None:
+    def _end_job(self, job_id: str, state: JobState) -> None:
         unfinished = self.unfinished_by_id.pop(job_id, None)
         if unfinished is not None:
             self.ended_by_id[job_id] = StoredEnd(
                 job_id, unfinished.job.queue, state, self.now_ms
             )
 
-    def _put(self, configuration: QueueConfiguration) -> None:
-        held = self.configuration
-        if held is None or configuration.version > held.version:
+    def _put_configuration(self, configuration: QueueConfiguration) -> None:
+        current = self.configuration
+        if current is None or configuration.version > current.version:
             self.configuration = configuration
             self.on_configuration(configuration)
 
-    def _forget_old(self, now_ms: int) -> None:
-        """Forget what ended before the retention time."""
+    def _drop_expired(self, now_ms: int) -> None:
+        """Advance the time, and drop jobs past their retention."""
         self.now_ms = max(self.now_ms, now_ms)
         oldest_ms = self.now_ms - self._retention_ms
         while self.ended_by_id:
@@ -206,7 +215,7 @@
             del self.ended_by_id[job_id]
 
 
-def _stored(unfinished: UnfinishedJob) -> StoredJob:
+def _to_stored(unfinished: UnfinishedJob) -> StoredJob:
     return StoredJob(
         unfinished.job,
         tuple(sorted(unfinished.done)),
@@ -220,7 +229,7 @@
     )
 
 
-def _unfinished(stored: StoredJob) -> UnfinishedJob:
+def _from_stored(stored: StoredJob) -> UnfinishedJob:
     unfinished = UnfinishedJob(stored.job, set(stored.done))
     for step, index, run in stored.failed_runs:
         runs = unfinished.failed_runs_by_task.setdefault((step, index), set())
@@ -228,5 +237,5 @@
     return unfinished
 
 
-def _ignore(configuration: QueueConfiguration) -> None:
-    """Stand in until somebody wants to know."""
+def _ignore_configuration(configuration: QueueConfiguration) -> None:
+    """Do nothing; the default of `on_configuration`."""
--- a/baobabgap/accepted/tests/test_state.py
+++ b/baobabgap/accepted/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The replicated state of accepted jobs, command by command."""
+"""Tests of the replicated state of accepted jobs."""
 
 import unittest
 
@@ -52,7 +52,7 @@
         self.index += 1
         return self.state.apply(self.index, encode([command]))
 
-    def end(
+    def note_end(
         self, index: int, end: RunEnd, run: int = 1, now_ms: int = 200
     ) -> object:
         return self.apply(
@@ -61,47 +61,50 @@
 
     def test_job_completes_with_its_last_task(self) -> None:
         self.apply(AcceptJobs((make_job(),)))
-        self.assertEqual([], self.end(0, RunEnd.DONE))
+        self.assertEqual([], self.note_end(0, RunEnd.DONE))
         self.assertIs(JobState.QUEUED, self.state.state_of('a'))
         self.assertEqual(
-            [JobEnd('a', JobState.COMPLETED)], self.end(1, RunEnd.DONE)
+            [JobEnd('a', JobState.COMPLETED)], self.note_end(1, RunEnd.DONE)
         )
         self.assertIs(JobState.COMPLETED, self.state.state_of('a'))
 
-    def test_second_acceptance_changes_nothing(self) -> None:
+    def test_repeated_acceptance_has_no_effect(self) -> None:
         self.apply(AcceptJobs((make_job(),)))
-        self.end(0, RunEnd.DONE)
+        self.note_end(0, RunEnd.DONE)
         self.apply(AcceptJobs((make_job(),)))
         self.assertEqual({(0, 0)}, self.state.unfinished_by_id['a'].done)
-        self.end(1, RunEnd.DONE)
+        self.note_end(1, RunEnd.DONE)
         self.apply(AcceptJobs((make_job(),)))
         self.assertIs(JobState.COMPLETED, self.state.state_of('a'))
 
-    def test_same_failed_run_counts_once(self) -> None:
+    def test_repeated_failed_run_counts_once(self) -> None:
         self.apply(AcceptJobs((make_job(),)))
-        self.assertEqual([], self.end(0, RunEnd.FAILED, run=1))
-        self.assertEqual([], self.end(0, RunEnd.FAILED, run=1))
+        self.assertEqual([], self.note_end(0, RunEnd.FAILED, run=1))
+        self.assertEqual([], self.note_end(0, RunEnd.FAILED, run=1))
         self.assertEqual(
-            [JobEnd('a', JobState.FAILED)], self.end(0, RunEnd.FAILED, run=2)
+            [JobEnd('a', JobState.FAILED)],
+            self.note_end(0, RunEnd.FAILED, run=2),
         )
 
     def test_cancelled_job_stays_cancelled(self) -> None:
         self.apply(AcceptJobs((make_job(tasks=1),)))
         self.apply(CancelAccepted(('a', 'unknown'), 150))
-        self.assertEqual([], self.end(0, RunEnd.DONE))
+        self.assertEqual([], self.note_end(0, RunEnd.DONE))
         self.assertIs(JobState.CANCELLED, self.state.state_of('a'))
         self.assertIsNone(self.state.state_of('unknown'))
 
-    def test_highest_version_stays_in_force(self) -> None:
-        seen: list[int] = []
-        self.state.on_configuration = lambda held: seen.append(held.version)
+    def test_only_a_higher_version_becomes_active(self) -> None:
+        versions: list[int] = []
+        self.state.on_configuration = lambda active: versions.append(
+            active.version
+        )
         for version in (3, 2, 3, 7, 5):
             self.apply(PutConfiguration(configuration(version)))
-        self.assertEqual([3, 7], seen)
+        self.assertEqual([3, 7], versions)
 
-    def test_ended_job_is_forgotten_after_its_retention(self) -> None:
+    def test_ended_job_is_dropped_after_its_retention(self) -> None:
         self.apply(AcceptJobs((make_job(tasks=1),)))
-        self.end(0, RunEnd.DONE, now_ms=200)
+        self.note_end(0, RunEnd.DONE, now_ms=200)
         self.apply(NoteEnds((), 200 + RETENTION_MS))
         self.assertIs(JobState.COMPLETED, self.state.state_of('a'))
         self.apply(NoteEnds((), 201 + RETENTION_MS))
@@ -116,15 +119,17 @@
         self.apply(PutConfiguration(configuration(4)))
         self.apply(EnrolMembers(('agent/a',)))
         self.apply(AcceptJobs((make_job(), make_job('b', 1))))
-        self.end(0, RunEnd.DONE)
-        self.end(1, RunEnd.FAILED, run=3)
+        self.note_end(0, RunEnd.DONE)
+        self.note_end(1, RunEnd.FAILED, run=3)
         self.apply(CancelAccepted(('b',), 300))
         restored = AcceptedState(RETENTION_MS)
-        seen: list[int] = []
-        restored.on_configuration = lambda held: seen.append(held.version)
+        versions: list[int] = []
+        restored.on_configuration = lambda active: versions.append(
+            active.version
+        )
         restored.restore(self.index, self.state.snapshot())
         self.assertEqual(self.state.snapshot(), restored.snapshot())
-        self.assertEqual([4], seen)
+        self.assertEqual([4], versions)
         self.assertEqual(
             {(0, 1): {3}}, restored.unfinished_by_id['a'].failed_runs_by_task
         )
