--- a/baobabgap/queues/__init__.py
+++ b/baobabgap/queues/__init__.py
@@ -1,4 +1,4 @@
-"""Queues, services and limits, as the operator configures them."""
+"""Configuration of queues, services and request limits, and its index."""
 
 from baobabgap.queues._model import JobQueue
 from baobabgap.queues._model import QueueConfiguration
--- a/baobabgap/queues/_model.py
+++ b/baobabgap/queues/_model.py
@@ -1,4 +1,4 @@
-"""What the operator configures: queues, services and request limits."""
+"""Configuration model: queues, services and request limits."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobQueue:
-    """Where jobs enter, and how they are treated."""
+    """A queue that requests submit jobs to, and the policy for its jobs."""
 
     name: str
-    # Requests match by this Host header and the longest path prefix.
+    # A request matches by its Host header and the longest path prefix.
     host: str
     path_prefix: str
     # The pool of upstreams that runs the tasks.
@@ -20,11 +20,11 @@
     priority: int
     # Failed runs of one task after which its job fails.
     attempts: int
-    # A job is on time within this multiple of its longest chain of work,
+    # A job is on time if it ends within this multiple of its critical path
+    # plus the latency allowance.
     stretch: float
-    # and this many milliseconds more.
     latency_allowance_ms: int
-    # Milliseconds within which a request should be answered.
+    # Time within which a request should be answered.
     timeout_ms: int
 
 
@@ -39,25 +39,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What a caller's connection may use."""
+    """Limits on each connection of a caller."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 256 * 1024
-    # Milliseconds for the head of a request.
+    # Time in which the header of a request must arrive.
     header_timeout_ms: int = 3_000
-    # Milliseconds that a kept-alive connection may stay idle.
+    # Time for which a kept-alive connection may stay idle.
     idle_timeout_ms: int = 15_000
 
 
 @dataclass(frozen=True, slots=True)
 class QueueConfiguration:
-    """One whole configuration; the highest version is in force.
+    """One complete configuration; the highest version is active.
 
     Build an index of it with `QueueTable.from_configuration`.
     """
 
     version: int
-    # The operator's own document, kept byte for byte for reading back.
+    # The operator's document, stored byte for byte so that it can be read
+    # back.
     source: bytes
     queues: tuple[JobQueue, ...]
     services: tuple[Service, ...]
--- a/baobabgap/queues/_table.py
+++ b/baobabgap/queues/_table.py
@@ -1,4 +1,4 @@
-"""Finding the queue of a request."""
+"""Lookup of the queue of a request."""
 
 from collections import defaultdict
 from dataclasses import dataclass
@@ -10,17 +10,17 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueMatch:
-    """The queue of a path, and what follows its prefix."""
+    """The queue of a path, and the path after the queue's prefix."""
 
     queue: JobQueue
-    # The job's identifier, or empty for the queue itself.
+    # The job's identifier, or empty if the path is that of the queue.
     rest: str
 
 
 class QueueTable:
-    """An index of one configuration.
+    """Index of one configuration by host and path prefix.
 
-    The longest prefix that a path begins with wins::
+    The longest matching prefix wins::
 
         table = QueueTable.from_configuration(configuration)
         match = table.find('desk.example', '/entries/5c0e7a21d94b36f8')
@@ -40,7 +40,7 @@
     def from_configuration(
         cls, configuration: QueueConfiguration
     ) -> 'QueueTable':
-        """Sort the queues of each host by the length of their prefix."""
+        """Build the index; host names are case-insensitive."""
         queues_by_host: dict[str, list[JobQueue]] = defaultdict(list)
         for queue in configuration.queues:
             queues_by_host[queue.host.lower()].append(queue)
@@ -53,12 +53,15 @@
         )
 
     def find(self, host: str, path: str) -> QueueMatch | None:
-        """Return the queue with the longest matching prefix."""
-        for queue in self._queues_by_host.get(_without_port(host), ()):
+        """Return the queue with the longest matching prefix, or None.
+
+        `host` is the value of a Host header; its port is ignored.
+        """
+        for queue in self._queues_by_host.get(_normalize_host(host), ()):
             if path.startswith(queue.path_prefix):
                 return QueueMatch(queue, path[len(queue.path_prefix) :])
         return None
 
 
-def _without_port(host: str) -> str:
+def _normalize_host(host: str) -> str:
     return host.partition(':')[0].lower()
--- a/baobabgap/queues/tests/test_table.py
+++ b/baobabgap/queues/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Finding the queue of a request."""
+"""Tests of the lookup of the queue of a request."""
 
 import unittest
 
