--- a/baobabgap/scheduling/tests/test_decisions.py
+++ b/baobabgap/scheduling/tests/test_decisions.py
@@ -305,17 +305,17 @@
         on_time = make_plan('on_time', self.STEP, arrived_at=9.95)
         backlog = Backlog.from_plans([late, on_time], 10.0)
         new = make_plan('new', self.STEP, arrived_at=10.0)
-        task_core_s = new.task_core_s(0)
-        self.assertAlmostEqual(2 * task_core_s, backlog.total_core_s)
-        self.assertAlmostEqual(task_core_s, backlog.ahead_core_s(new))
+        expected_core_s = new.task_core_s(0)
+        self.assertAlmostEqual(2 * expected_core_s, backlog.total_core_s)
+        self.assertAlmostEqual(expected_core_s, backlog.ahead_core_s(new))
 
     def test_added_job_counts(self) -> None:
         backlog = Backlog.from_plans([], 10.0)
         backlog.add(make_plan('first', self.STEP, arrived_at=9.95))
         new = make_plan('new', self.STEP, arrived_at=10.0)
-        task_core_s = new.task_core_s(0)
-        self.assertAlmostEqual(task_core_s, backlog.ahead_core_s(new))
-        self.assertAlmostEqual(task_core_s, backlog.total_core_s)
+        expected_core_s = new.task_core_s(0)
+        self.assertAlmostEqual(expected_core_s, backlog.ahead_core_s(new))
+        self.assertAlmostEqual(expected_core_s, backlog.total_core_s)
 
 
 class RunTimesTest(unittest.TestCase):
--- a/baobabgap/scheduling/tests/test_played_load.py
+++ b/baobabgap/scheduling/tests/test_played_load.py
@@ -49,10 +49,10 @@
             for seed in SEEDS:
                 with self.subTest(name, seed=seed):
                     trace = make_trace(SECONDS, rate_factor, seed)
-                    outcome = LoadSimulator(urgent_first).run(trace)
+                    actual = LoadSimulator(urgent_first).run(trace)
                     baseline = LoadSimulator(first_come).run(trace)
                     self.assertGreater(
-                        outcome.share_on_time, baseline.share_on_time
+                        actual.share_on_time, baseline.share_on_time
                     )
 
     def test_outage_backlog_does_not_delay_later_jobs(self) -> None:
@@ -66,14 +66,14 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 trace = make_trace(SECONDS, normal_load, seed)
-                outcome = LoadSimulator(urgent_first, outage).run(trace)
+                actual = LoadSimulator(urgent_first, outage).run(trace)
                 baseline = LoadSimulator(first_come, outage).run(trace)
                 self.assertGreater(
-                    outcome.on_time_by_second.get(6, 0),
+                    actual.on_time_by_second.get(6, 0),
                     baseline.on_time_by_second.get(6, 0),
                 )
                 self.assertGreaterEqual(
-                    outcome.share_on_time, baseline.share_on_time
+                    actual.share_on_time, baseline.share_on_time
                 )
 
     def test_fewer_are_refused_while_upstreams_come_back(self) -> None:
@@ -114,7 +114,7 @@
             for seed in SEEDS:
                 with self.subTest(name, seed=seed):
                     trace = make_trace(SECONDS, rate_factor, seed)
-                    outcome, baseline = (
+                    actual, baseline = (
                         LoadSimulator(
                             urgent_first,
                             outage,
@@ -122,8 +122,8 @@
                         ).run(trace)
                         for transform in (by_work_ahead, by_total_backlog)
                     )
-                    self.assertGreater(outcome.on_time, baseline.on_time)
-                    self.assertLessEqual(outcome.refused, baseline.refused)
+                    self.assertGreater(actual.on_time, baseline.on_time)
+                    self.assertLessEqual(actual.refused, baseline.refused)
 
     def test_overloaded_scheduler_serves_all_jobs(self) -> None:
         """Late jobs start last, but must not starve."""
