--- a/baobabgap/dispatch/_agent_desk.py
+++ b/baobabgap/dispatch/_agent_desk.py
@@ -36,8 +36,8 @@
 from baobabgap.dispatch._timing import boot_time
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.scheduling import JobPlan
+from baobabgap.scheduling import PlacementTarget
 from baobabgap.scheduling import PlannedTask
-from baobabgap.scheduling import Room
 from baobabgap.telemetry import log_event
 from baobabgap.transport import Connection
 
@@ -348,7 +348,9 @@
                     suspended=is_suspended,
                 )
 
-    def _learn(self, room: Room, row: EndRow, run: Run, run_s: float) -> None:
+    def _learn(
+        self, room: PlacementTarget, row: EndRow, run: Run, run_s: float
+    ) -> None:
         if run.was_found:
             # How long it has run in all isn't known.
             room.health.note_done(run.expected_s, run.expected_s)
@@ -363,8 +365,8 @@
             )
 
 
-def _room_of(view: AgentView, upstream: UpstreamState) -> Room:
-    room = Room(
+def _room_of(view: AgentView, upstream: UpstreamState) -> PlacementTarget:
+    room = PlacementTarget(
         view.name,
         upstream.service,
         upstream.availability_zone,
--- a/baobabgap/dispatch/_agent_view.py
+++ b/baobabgap/dispatch/_agent_view.py
@@ -7,7 +7,7 @@
 from baobabgap.accepted import TaskId
 from baobabgap.dispatch._messages import UpstreamState
 from baobabgap.dispatch._timing import boot_time
-from baobabgap.scheduling import Room
+from baobabgap.scheduling import PlacementTarget
 from baobabgap.transport import Connection
 
 
@@ -44,7 +44,7 @@
     is_enrolled: bool = False
     is_enrolling: bool = False
     upstream: UpstreamState | None = None
-    room: Room | None = None
+    room: PlacementTarget | None = None
     run_by_task: dict[TaskId, Run] = field(default_factory=dict)
     # The highest number of an end taken, in the upstream's present life.
     last_end_number: int = 0
--- a/baobabgap/dispatch/_books.py
+++ b/baobabgap/dispatch/_books.py
@@ -15,8 +15,8 @@
 from baobabgap.queues import QueueTable
 from baobabgap.scheduling import Backlog
 from baobabgap.scheduling import JobPlan
+from baobabgap.scheduling import PlacementTarget
 from baobabgap.scheduling import PlannedTask
-from baobabgap.scheduling import Room
 from baobabgap.scheduling import RunTimes
 
 # Seconds after an election in which agents that an earlier leader knew, and
@@ -84,7 +84,7 @@
         task = plan.task_by_id.get(task_id) if plan else None
         return (plan, task) if plan and task else None
 
-    def rooms_of(self, service: str) -> list[Room]:
+    def rooms_of(self, service: str) -> list[PlacementTarget]:
         """Return the upstreams of a service, open or not."""
         return [
             view.room
--- a/baobabgap/dispatch/_starter.py
+++ b/baobabgap/dispatch/_starter.py
@@ -14,9 +14,9 @@
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.scheduling import JobPlan
 from baobabgap.scheduling import Placement
+from baobabgap.scheduling import PlacementTarget
 from baobabgap.scheduling import plan_starts
 from baobabgap.scheduling import PlannedTask
-from baobabgap.scheduling import Room
 from baobabgap.telemetry import log_event
 from baobabgap.telemetry import Metrics
 
@@ -55,7 +55,7 @@
         ]
         if not plans:
             return
-        rooms_by_service: dict[str, list[Room]] = defaultdict(list)
+        rooms_by_service: dict[str, list[PlacementTarget]] = defaultdict(list)
         for view in books.view_by_name.values():
             if view.room and view.may_start(self._authority_s):
                 rooms_by_service[view.room.service].append(view.room)
--- a/baobabgap/scheduling/__init__.py
+++ b/baobabgap/scheduling/__init__.py
@@ -17,7 +17,7 @@
 from baobabgap.scheduling._planner import plan_starts
 from baobabgap.scheduling._run_times import RunTimes
 from baobabgap.scheduling._targets import choose_target
-from baobabgap.scheduling._targets import Room
+from baobabgap.scheduling._targets import PlacementTarget
 
 __all__ = [
     'admit',
@@ -32,7 +32,7 @@
     'Prospect',
     'Refusal',
     'retry_after',
-    'Room',
+    'PlacementTarget',
     'RunTimes',
     'TargetHealth',
 ]
--- a/baobabgap/scheduling/_admission.py
+++ b/baobabgap/scheduling/_admission.py
@@ -12,7 +12,7 @@
 from baobabgap.accepted import Step
 from baobabgap.scheduling._backlog import Backlog
 from baobabgap.scheduling._job_plan import JobPlan
-from baobabgap.scheduling._targets import Room
+from baobabgap.scheduling._targets import PlacementTarget
 
 # Expected wait that never causes a refusal.
 _NEGLIGIBLE_WAIT_S: Final = 0.05
@@ -60,7 +60,7 @@
 
 
 def admit(
-    targets: list[Room],
+    targets: list[PlacementTarget],
     steps: tuple[Step, ...],
     prospect: Prospect,
     returning: int = 0,
@@ -96,7 +96,7 @@
 
 
 def retry_after(
-    targets: list[Room],
+    targets: list[PlacementTarget],
     backlog_core_s: float,
     patience_s: float = 0.0,
     returning: int = 0,
@@ -115,7 +115,7 @@
     )
 
 
-def _open_cores(targets: list[Room], returning: int) -> float:
+def _open_cores(targets: list[PlacementTarget], returning: int) -> float:
     cores = [
         target.capacity.cpu_millicores / 1000
         for target in targets
@@ -126,7 +126,9 @@
     return sum(cores) * (1 + returning / len(cores))
 
 
-def _could_ever_fit(targets: list[Room], steps: tuple[Step, ...]) -> bool:
+def _could_ever_fit(
+    targets: list[PlacementTarget], steps: tuple[Step, ...]
+) -> bool:
     return all(
         any(step.demand.fits_in(target.capacity) for target in targets)
         for step in steps
--- a/baobabgap/scheduling/_planner.py
+++ b/baobabgap/scheduling/_planner.py
@@ -13,7 +13,7 @@
 from baobabgap.scheduling._job_plan import JobPlan
 from baobabgap.scheduling._job_plan import PlannedTask
 from baobabgap.scheduling._targets import choose_target
-from baobabgap.scheduling._targets import Room
+from baobabgap.scheduling._targets import PlacementTarget
 from baobabgap.scheduling._targets import usable_targets
 
 # Overhead of a job on top of its run time: messages and wake-ups between the
@@ -29,7 +29,7 @@
 
     plan: JobPlan
     task: PlannedTask
-    room: Room
+    room: PlacementTarget
 
     @property
     def demand(self) -> Demand:
@@ -58,7 +58,7 @@
 
 def plan_starts(
     plans: Iterable[JobPlan],
-    targets_by_service: dict[str, list[Room]],
+    targets_by_service: dict[str, list[PlacementTarget]],
     far_factor: float,
     now: float,
 ) -> list[Placement]:
@@ -121,7 +121,7 @@
 
 def _place_step(
     waiting_step: _WaitingStep,
-    targets: list[Room],
+    targets: list[PlacementTarget],
     far_factor: float,
     now: float,
 ) -> list[Placement]:
--- a/baobabgap/scheduling/_targets.py
+++ b/baobabgap/scheduling/_targets.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Room:
+class PlacementTarget:
     """One upstream that runs can be placed on."""
 
     # The name of the upstream's agent.
@@ -49,7 +49,9 @@
         return self.free.cpu_millicores / max(1, self.capacity.cpu_millicores)
 
 
-def usable_targets(targets: list[Room], now: float) -> list[Room]:
+def usable_targets(
+    targets: list[PlacementTarget], now: float
+) -> list[PlacementTarget]:
     """Return the open targets without suspended ones.
 
     If more than half of them are suspended, all suspensions are lifted: a
@@ -69,13 +71,13 @@
 
 
 def choose_target(
-    targets: Iterable[Room],
+    targets: Iterable[PlacementTarget],
     step: Step,
     avoided: Collection[str],
     task_count_by_upstream: dict[str, int],
     far_factor: float,
     now: float,
-) -> Room | None:
+) -> PlacementTarget | None:
     """Return the target where a task of a step ends soonest, or None.
 
     `targets` are those that `usable_targets` returns. `avoided` names
@@ -85,7 +87,7 @@
     with the largest free share wins: spreading the load limits the jobs
     that the loss of one upstream affects.
     """
-    best: Room | None = None
+    best: PlacementTarget | None = None
     best_cost = (0.0, 0.0)
     for target in targets:
         if not _is_eligible(
@@ -102,7 +104,7 @@
 
 
 def _is_eligible(
-    target: Room,
+    target: PlacementTarget,
     step: Step,
     avoided: Collection[str],
     task_count_by_upstream: dict[str, int],
--- a/baobabgap/scheduling/tests/load_player.py
+++ b/baobabgap/scheduling/tests/load_player.py
@@ -17,9 +17,9 @@
 from baobabgap.scheduling import Backlog
 from baobabgap.scheduling import JobPlan
 from baobabgap.scheduling import Placement
+from baobabgap.scheduling import PlacementTarget
 from baobabgap.scheduling import plan_starts
 from baobabgap.scheduling import Prospect
-from baobabgap.scheduling import Room
 from baobabgap.scheduling import RunTimes
 
 SERVICE = 'service'
@@ -34,7 +34,8 @@
 TASKS_PER_UPSTREAM = 10
 
 StartOrder = Callable[
-    [Iterable[JobPlan], dict[str, list[Room]], float], list[Placement]
+    [Iterable[JobPlan], dict[str, list[PlacementTarget]], float],
+    list[Placement],
 ]
 
 
@@ -103,18 +104,22 @@
 
 
 def urgent_first(
-    plans: Iterable[JobPlan], targets: dict[str, list[Room]], now: float
+    plans: Iterable[JobPlan],
+    targets: dict[str, list[PlacementTarget]],
+    now: float,
 ) -> list[Placement]:
     """Start tasks by urgency, as the scheduler does."""
     return plan_starts(plans, targets, 1.0, now)
 
 
 def first_come(
-    plans: Iterable[JobPlan], targets: dict[str, list[Room]], now: float
+    plans: Iterable[JobPlan],
+    targets: dict[str, list[PlacementTarget]],
+    now: float,
 ) -> list[Placement]:
     """Start tasks in the order in which their jobs arrived."""
     placements: list[Placement] = []
-    occupied: list[tuple[Room, Demand]] = []
+    occupied: list[tuple[PlacementTarget, Demand]] = []
     for plan in plans:
         plan_placements = plan_starts([plan], targets, 1.0, now)
         for placement in plan_placements:
@@ -174,7 +179,7 @@
         self._admission = admission
         capacity = Demand(1000 * CORES_PER_TASK * TASKS_PER_UPSTREAM, 1000, 0)
         self._targets = [
-            Room(f'r{number}', SERVICE, 'z', (), capacity, capacity)
+            PlacementTarget(f'r{number}', SERVICE, 'z', (), capacity, capacity)
             for number in range(UPSTREAMS)
         ]
         self._plans: dict[str, JobPlan] = {}
@@ -276,7 +281,7 @@
 
 
 def _make_open_setter(
-    target: Room, *, is_open: bool
+    target: PlacementTarget, *, is_open: bool
 ) -> Callable[[float], None]:
     def set_open(now: float) -> None:
         target.is_open = is_open
--- a/baobabgap/scheduling/tests/test_decisions.py
+++ b/baobabgap/scheduling/tests/test_decisions.py
@@ -11,9 +11,9 @@
 from baobabgap.scheduling import Backlog
 from baobabgap.scheduling import is_overdue
 from baobabgap.scheduling import JobPlan
+from baobabgap.scheduling import PlacementTarget
 from baobabgap.scheduling import plan_starts
 from baobabgap.scheduling import Prospect
-from baobabgap.scheduling import Room
 from baobabgap.scheduling import RunTimes
 from baobabgap.scheduling import TargetHealth
 from baobabgap.scheduling._planner import urgency_of
@@ -34,9 +34,11 @@
     return JobPlan(make_job(job_id, steps), arrived_at, RunTimes())
 
 
-def make_target(name: str, cores: int = 2, kind: str = 'a') -> Room:
+def make_target(name: str, cores: int = 2, kind: str = 'a') -> PlacementTarget:
     capacity = Demand(1000 * cores, 1024, 0)
-    return Room(name, SERVICE, 'zone', (kind, 'rack'), capacity, capacity)
+    return PlacementTarget(
+        name, SERVICE, 'zone', (kind, 'rack'), capacity, capacity
+    )
 
 
 def make_prospect(core_s: float) -> Prospect:
@@ -45,7 +47,7 @@
 
 
 def planned_starts(
-    plans: list[JobPlan], targets: list[Room], now: float = 0.0
+    plans: list[JobPlan], targets: list[PlacementTarget], now: float = 0.0
 ) -> list[tuple[str, int, str]]:
     return [
         (
