--- a/baobabgap/dispatch/_agent_desk.py
+++ b/baobabgap/dispatch/_agent_desk.py
@@ -193,14 +193,16 @@
             if held is not None:
                 self._runs.drop_all(view, 'upstream is gone')
             view.last_end_number = 0
-            view.room = None
+            view.target = None
         view.upstream = upstream
         if upstream is None:
             self.dismiss(view)
             return
-        if view.room is None:
-            view.room = _room_of(view, upstream)
-        view.room.is_open = upstream.is_reachable and not upstream.is_draining
+        if view.target is None:
+            view.target = _target_of(view, upstream)
+        view.target.is_open = (
+            upstream.is_reachable and not upstream.is_draining
+        )
         if held != upstream:
             log_event(
                 'upstream_changed',
@@ -238,8 +240,8 @@
         )
 
     def _take_gone(self, view: AgentView, message: RunsGone) -> None:
-        if message.reason in _REFUSALS and view.room is not None:
-            view.room.health.note_refused(time.monotonic())
+        if message.reason in _REFUSALS and view.target is not None:
+            view.target.health.note_refused(time.monotonic())
         for row in message.runs:
             run = view.run_by_task.get(row.task)
             if run is not None and run.number == row.run:
@@ -327,16 +329,16 @@
 
     def _judge(self, view: AgentView, row: EndRow, run: Run) -> None:
         """Learn from an end about the upstream and the queue."""
-        room = view.room
-        if room is None:
+        target = view.target
+        if target is None:
             return
         now = time.monotonic()
         run_s = now - run.started_at
         match row.end:
             case RunEnd.DONE:
-                self._learn(room, row, run, run_s)
+                self._learn(target, row, run, run_s)
             case RunEnd.FAILED:
-                is_suspended = room.health.note_failed(now)
+                is_suspended = target.health.note_failed(now)
                 log_event(
                     'run_failed',
                     job=row.task.job_id,
@@ -344,29 +346,29 @@
                     run=row.run,
                     agent=view.name,
                     run_ms=round(1000 * run_s),
-                    failures_in_row=room.health.failures_in_row,
+                    failures_in_row=target.health.failures_in_row,
                     suspended=is_suspended,
                 )
 
     def _learn(
-        self, room: PlacementTarget, row: EndRow, run: Run, run_s: float
+        self, target: PlacementTarget, row: EndRow, run: Run, run_s: float
     ) -> None:
         if run.was_found:
             # How long it has run in all isn't known.
-            room.health.note_done(run.expected_s, run.expected_s)
+            target.health.note_done(run.expected_s, run.expected_s)
             return
-        room.health.note_done(run_s, run.expected_s * room.kind_slowness)
+        target.health.note_done(run_s, run.expected_s * target.kind_slowness)
         plan = self._books.plan_by_id.get(row.task.job_id)
         if plan is not None:
             step = plan.job.steps[row.task.step]
             plan.note_run_time(row.task.step, run_s)
             self._books.run_times.observe(
-                plan.job.queue, room.kind, step.estimate_ms, run_s
+                plan.job.queue, target.kind, step.estimate_ms, run_s
             )
 
 
-def _room_of(view: AgentView, upstream: UpstreamState) -> PlacementTarget:
-    room = PlacementTarget(
+def _target_of(view: AgentView, upstream: UpstreamState) -> PlacementTarget:
+    target = PlacementTarget(
         view.name,
         upstream.service,
         upstream.availability_zone,
@@ -375,5 +377,5 @@
         upstream.capacity,
     )
     for run in view.run_by_task.values():
-        room.occupy(run.demand)
-    return room
+        target.occupy(run.demand)
+    return target
--- a/baobabgap/dispatch/_agent_view.py
+++ b/baobabgap/dispatch/_agent_view.py
@@ -44,7 +44,7 @@
     is_enrolled: bool = False
     is_enrolling: bool = False
     upstream: UpstreamState | None = None
-    room: PlacementTarget | None = None
+    target: PlacementTarget | None = None
     run_by_task: dict[TaskId, Run] = field(default_factory=dict)
     # The highest number of an end taken, in the upstream's present life.
     last_end_number: int = 0
--- a/baobabgap/dispatch/_books.py
+++ b/baobabgap/dispatch/_books.py
@@ -84,12 +84,12 @@
         task = plan.task_by_id.get(task_id) if plan else None
         return (plan, task) if plan and task else None
 
-    def rooms_of(self, service: str) -> list[PlacementTarget]:
+    def targets_of(self, service: str) -> list[PlacementTarget]:
         """Return the upstreams of a service, open or not."""
         return [
-            view.room
+            view.target
             for view in self.view_by_name.values()
-            if view.room is not None and view.room.service == service
+            if view.target is not None and view.target.service == service
         ]
 
     def returning_upstreams(self, service: str, now: float) -> int:
@@ -100,14 +100,14 @@
         """
         if now - self._opened_at > _RETURN_S:
             return 0
-        rooms = [
-            view.room
+        targets = [
+            view.target
             for view in self.view_by_name.values()
-            if view.room is not None
+            if view.target is not None
         ]
-        missing = len(self.view_by_name) - len(rooms)
-        own = sum(1 for room in rooms if room.service == service)
-        return missing * own // max(1, len(rooms))
+        missing = len(self.view_by_name) - len(targets)
+        own = sum(1 for target in targets if target.service == service)
+        return missing * own // max(1, len(targets))
 
     def backlog(self, service: str, now: float) -> Backlog:
         """Return the work that waits in a service and could start."""
--- a/baobabgap/dispatch/_call_desk.py
+++ b/baobabgap/dispatch/_call_desk.py
@@ -138,7 +138,7 @@
                 continue
             backlog_core_s = books.backlog(plan.job.service, now).total_core_s
             retry_after_ms = retry_after(
-                books.rooms_of(plan.job.service),
+                books.targets_of(plan.job.service),
                 backlog_core_s,
                 returning=books.returning_upstreams(plan.job.service, now),
             )
@@ -232,11 +232,11 @@
         """Refuse a job that would be worthless; tell whether it is taken."""
         job = plan.job
         now = time.monotonic()
-        rooms = self._books.rooms_of(job.service)
+        targets = self._books.targets_of(job.service)
         backlog = self._books.backlog(job.service, now)
         prospect = Prospect.from_backlog(backlog, plan, now)
         returning = self._books.returning_upstreams(job.service, now)
-        refusal = admit(rooms, job.steps, prospect, returning)
+        refusal = admit(targets, job.steps, prospect, returning)
         if refusal is None:
             backlog.add(plan)
             return True
@@ -251,7 +251,7 @@
             backlog_age_ms=round(1000 * (now - backlog.looked_at)),
             on_time_patience_s=round(prospect.on_time_patience_s, 3),
             patience_s=round(prospect.late_patience_s, 3),
-            upstreams=len(rooms),
+            upstreams=len(targets),
             returning_upstreams=returning,
             retry_after_ms=refusal.retry_after_ms,
         )
--- a/baobabgap/dispatch/_run_book.py
+++ b/baobabgap/dispatch/_run_book.py
@@ -72,8 +72,8 @@
     def remove(self, view: AgentView, task_id: TaskId) -> Run:
         """Take a run that is over out of the account."""
         run = view.run_by_task.pop(task_id)
-        if view.room is not None:
-            view.room.release(run.demand)
+        if view.target is not None:
+            view.target.release(run.demand)
         return run
 
     def drop(self, view: AgentView, task_id: TaskId, reason: str) -> None:
@@ -120,8 +120,8 @@
 
     def _occupy(self, view: AgentView, run: Run) -> None:
         view.run_by_task[run.task] = run
-        if view.room is not None:
-            view.room.occupy(run.demand)
+        if view.target is not None:
+            view.target.occupy(run.demand)
 
     def _send_stop(self, view: AgentView, run: Run) -> None:
         if view.connection is None:
--- a/baobabgap/dispatch/_starter.py
+++ b/baobabgap/dispatch/_starter.py
@@ -55,12 +55,14 @@
         ]
         if not plans:
             return
-        rooms_by_service: dict[str, list[PlacementTarget]] = defaultdict(list)
+        targets_by_service: dict[str, list[PlacementTarget]] = defaultdict(
+            list
+        )
         for view in books.view_by_name.values():
-            if view.room and view.may_start(self._authority_s):
-                rooms_by_service[view.room.service].append(view.room)
+            if view.target and view.may_start(self._authority_s):
+                targets_by_service[view.target.service].append(view.target)
         placements = plan_starts(
-            plans, rooms_by_service, self._far_factor, time.monotonic()
+            plans, targets_by_service, self._far_factor, time.monotonic()
         )
         if placements:
             self._order(placements)
@@ -69,15 +71,19 @@
         orders_by_agent: dict[str, list[RunOrder]] = defaultdict(list)
         runs_by_job: dict[str, list[str]] = defaultdict(list)
         for placement in placements:
-            plan, task, room = placement.plan, placement.task, placement.room
-            view = self._books.view_by_name[room.name]
+            plan, task, target = (
+                placement.plan,
+                placement.task,
+                placement.target,
+            )
+            view = self._books.view_by_name[target.name]
             number = self._next_run(plan.job, task)
             self._runs.add(view, plan, task, number)
-            orders_by_agent[room.name].append(
+            orders_by_agent[target.name].append(
                 RunOrder(task.task, number, plan.job.payload, placement.demand)
             )
             runs_by_job[plan.job.job_id].append(
-                f'{task_text(task.task)}#{number}@{room.name}'
+                f'{task_text(task.task)}#{number}@{target.name}'
             )
         for name, orders in orders_by_agent.items():
             self._send(self._books.view_by_name[name], tuple(orders))
--- a/baobabgap/dispatch/_watch.py
+++ b/baobabgap/dispatch/_watch.py
@@ -66,9 +66,9 @@
             del self._books.view_by_name[view.name]
 
     def _look_at_linked(self, view: AgentView, now: float) -> None:
-        if view.room is not None:
-            view.room.kind_slowness = self._books.run_times.slowness(
-                view.room.kind
+        if view.target is not None:
+            view.target.kind_slowness = self._books.run_times.slowness(
+                view.target.kind
             )
         for run in list(view.run_by_task.values()):
             plan = self._books.plan_by_id.get(run.task.job_id)
@@ -90,8 +90,8 @@
         """Stop a run that hangs, so that its task runs elsewhere."""
         task.avoided.add(view.name)
         task.overdue_runs += 1
-        room = view.room
-        is_suspended = room is not None and room.health.note_overdue(
+        target = view.target
+        is_suspended = target is not None and target.health.note_overdue(
             time.monotonic()
         )
         log_event(
--- a/baobabgap/scheduling/_planner.py
+++ b/baobabgap/scheduling/_planner.py
@@ -29,7 +29,7 @@
 
     plan: JobPlan
     task: PlannedTask
-    room: PlacementTarget
+    target: PlacementTarget
 
     @property
     def demand(self) -> Demand:
@@ -94,7 +94,7 @@
             # Less urgent steps must not take the next free capacity.
             full_services.add(service)
     for placement in placements:
-        placement.room.release(placement.demand)
+        placement.target.release(placement.demand)
     return placements
 
 
--- a/baobabgap/scheduling/tests/load_player.py
+++ b/baobabgap/scheduling/tests/load_player.py
@@ -123,8 +123,8 @@
     for plan in plans:
         plan_placements = plan_starts([plan], targets, 1.0, now)
         for placement in plan_placements:
-            placement.room.occupy(placement.demand)
-            occupied.append((placement.room, placement.demand))
+            placement.target.occupy(placement.demand)
+            occupied.append((placement.target, placement.demand))
         placements.extend(plan_placements)
         if plan.has_waiting and len(plan_placements) < len(
             plan.waiting_by_step[0]
@@ -252,15 +252,17 @@
         targets = {SERVICE: self._targets}
         waiting = [plan for plan in self._plans.values() if plan.has_waiting]
         for placement in self._order(waiting, targets, now):
-            placement.room.occupy(placement.demand)
-            placement.plan.note_started(placement.task, placement.room.name, 1)
+            placement.target.occupy(placement.demand)
+            placement.plan.note_started(
+                placement.task, placement.target.name, 1
+            )
             run_s = self._run_s[placement.plan.job.job_id]
             self._schedule(now + run_s, self._make_task_end(placement))
 
     def _make_task_end(self, placement: Placement) -> Callable[[float], None]:
         def end(now: float) -> None:
             plan = placement.plan
-            placement.room.release(placement.demand)
+            placement.target.release(placement.demand)
             plan.note_done(placement.task.task)
             if plan.is_done:
                 self._record_job_end(plan, now)
--- a/baobabgap/scheduling/tests/test_decisions.py
+++ b/baobabgap/scheduling/tests/test_decisions.py
@@ -53,7 +53,7 @@
         (
             placement.plan.job.job_id,
             placement.task.task.index,
-            placement.room.name,
+            placement.target.name,
         )
         for placement in plan_starts(plans, {SERVICE: targets}, 1.5, now)
     ]
