--- a/baobabgap/dispatch/_call_desk.py
+++ b/baobabgap/dispatch/_call_desk.py
@@ -26,9 +26,9 @@
 from baobabgap.dispatch._replies import answer_unavailable
 from baobabgap.dispatch._run_book import RunBook
 from baobabgap.queues import QueueMatch
+from baobabgap.scheduling import AdmissionInput
 from baobabgap.scheduling import admit
 from baobabgap.scheduling import JobPlan
-from baobabgap.scheduling import Prospect
 from baobabgap.scheduling import retry_after
 from baobabgap.telemetry import log_event
 from baobabgap.telemetry import Metrics
@@ -234,9 +234,9 @@
         now = time.monotonic()
         targets = self._books.targets_of(job.service)
         backlog = self._books.backlog(job.service, now)
-        prospect = Prospect.from_backlog(backlog, plan, now)
+        admission_input = AdmissionInput.from_backlog(backlog, plan, now)
         returning = self._books.returning_upstreams(job.service, now)
-        refusal = admit(targets, job.steps, prospect, returning)
+        refusal = admit(targets, job.steps, admission_input, returning)
         if refusal is None:
             backlog.add(plan)
             return True
@@ -246,11 +246,11 @@
             job=job.job_id,
             queue=job.queue,
             reason=refusal.reason,
-            ahead_core_s=round(prospect.ahead_core_s, 2),
-            backlog_core_s=round(prospect.total_core_s, 2),
+            ahead_core_s=round(admission_input.ahead_core_s, 2),
+            backlog_core_s=round(admission_input.total_core_s, 2),
             backlog_age_ms=round(1000 * (now - backlog.looked_at)),
-            on_time_patience_s=round(prospect.on_time_patience_s, 3),
-            patience_s=round(prospect.late_patience_s, 3),
+            on_time_patience_s=round(admission_input.on_time_patience_s, 3),
+            patience_s=round(admission_input.late_patience_s, 3),
             upstreams=len(targets),
             returning_upstreams=returning,
             retry_after_ms=refusal.retry_after_ms,
--- a/baobabgap/scheduling/__init__.py
+++ b/baobabgap/scheduling/__init__.py
@@ -3,8 +3,8 @@
 They do no I/O and read no clock; the caller passes the time.
 """
 
+from baobabgap.scheduling._admission import AdmissionInput
 from baobabgap.scheduling._admission import admit
-from baobabgap.scheduling._admission import Prospect
 from baobabgap.scheduling._admission import Refusal
 from baobabgap.scheduling._admission import retry_after
 from baobabgap.scheduling._backlog import Backlog
@@ -29,7 +29,7 @@
     'Placement',
     'plan_starts',
     'PlannedTask',
-    'Prospect',
+    'AdmissionInput',
     'Refusal',
     'retry_after',
     'PlacementTarget',
--- a/baobabgap/scheduling/_admission.py
+++ b/baobabgap/scheduling/_admission.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prospect:
+class AdmissionInput:
     """The backlog that a new job meets, and how long the job can wait.
 
     Work is in core-seconds, times are in seconds.
@@ -49,7 +49,7 @@
     @classmethod
     def from_backlog(
         cls, backlog: Backlog, plan: JobPlan, now: float
-    ) -> 'Prospect':
+    ) -> 'AdmissionInput':
         """Build the input for a job that is not in the backlog yet."""
         return cls(
             backlog.ahead_core_s(plan),
@@ -62,7 +62,7 @@
 def admit(
     targets: list[PlacementTarget],
     steps: tuple[Step, ...],
-    prospect: Prospect,
+    admission_input: AdmissionInput,
     returning: int = 0,
 ) -> Refusal | None:
     """Refuse a job that can't be served, or only too late to be useful.
@@ -80,16 +80,19 @@
     cores = _open_cores(targets, returning)
     if not cores:
         return None
-    ahead_s = prospect.ahead_core_s / cores
-    wait_s = prospect.total_core_s / cores
-    if ahead_s <= max(prospect.on_time_patience_s, _NEGLIGIBLE_WAIT_S):
+    ahead_s = admission_input.ahead_core_s / cores
+    wait_s = admission_input.total_core_s / cores
+    if ahead_s <= max(admission_input.on_time_patience_s, _NEGLIGIBLE_WAIT_S):
         # A job that is late already is served too if it need not wait.
         return None
-    if wait_s <= prospect.late_patience_s:
+    if wait_s <= admission_input.late_patience_s:
         return None
     return Refusal(
         retry_after(
-            targets, prospect.total_core_s, prospect.late_patience_s, returning
+            targets,
+            admission_input.total_core_s,
+            admission_input.late_patience_s,
+            returning,
         ),
         f'{ahead_s:.1f} s of work go before it, {wait_s:.1f} s wait',
     )
--- a/baobabgap/scheduling/tests/load_player.py
+++ b/baobabgap/scheduling/tests/load_player.py
@@ -13,13 +13,13 @@
 from baobabgap.accepted import AcceptedJob
 from baobabgap.accepted import Demand
 from baobabgap.accepted import Step
+from baobabgap.scheduling import AdmissionInput
 from baobabgap.scheduling import admit
 from baobabgap.scheduling import Backlog
 from baobabgap.scheduling import JobPlan
 from baobabgap.scheduling import Placement
 from baobabgap.scheduling import PlacementTarget
 from baobabgap.scheduling import plan_starts
-from baobabgap.scheduling import Prospect
 from baobabgap.scheduling import RunTimes
 
 SERVICE = 'service'
@@ -135,17 +135,17 @@
     return placements
 
 
-def by_work_ahead(prospect: Prospect) -> Prospect:
+def by_work_ahead(admission_input: AdmissionInput) -> AdmissionInput:
     """Admit by the work that starts before a job, as the scheduler does."""
-    return prospect
+    return admission_input
 
 
-def by_total_backlog(prospect: Prospect) -> Prospect:
+def by_total_backlog(admission_input: AdmissionInput) -> AdmissionInput:
     """Admit as if a job had to wait for the whole backlog."""
     return replace(
-        prospect,
-        ahead_core_s=prospect.total_core_s,
-        on_time_patience_s=prospect.late_patience_s,
+        admission_input,
+        ahead_core_s=admission_input.total_core_s,
+        on_time_patience_s=admission_input.late_patience_s,
     )
 
 
@@ -153,7 +153,7 @@
 class AdmissionOptions:
     """How the simulated admission works."""
 
-    transform: Callable[[Prospect], Prospect] = by_work_ahead
+    transform: Callable[[AdmissionInput], AdmissionInput] = by_work_ahead
     # Seconds between the returns of successive upstreams after an outage;
     # with 0 all return at once.
     return_gap_s: float = 0.0
@@ -238,12 +238,12 @@
         if admission is None or self._outage[0] <= now < self._outage[1]:
             return False
         backlog = Backlog.from_plans(self._plans.values(), now)
-        prospect = Prospect.from_backlog(backlog, plan, now)
+        admission_input = AdmissionInput.from_backlog(backlog, plan, now)
         closed = sum(1 for target in self._targets if not target.is_open)
         refusal = admit(
             self._targets,
             plan.job.steps,
-            admission.transform(prospect),
+            admission.transform(admission_input),
             closed if admission.counts_returning else 0,
         )
         return refusal is not None
--- a/baobabgap/scheduling/tests/test_decisions.py
+++ b/baobabgap/scheduling/tests/test_decisions.py
@@ -7,13 +7,13 @@
 from baobabgap.accepted import Step
 from baobabgap.accepted import TaskId
 from baobabgap.accepted import UnfinishedJob
+from baobabgap.scheduling import AdmissionInput
 from baobabgap.scheduling import admit
 from baobabgap.scheduling import Backlog
 from baobabgap.scheduling import is_overdue
 from baobabgap.scheduling import JobPlan
 from baobabgap.scheduling import PlacementTarget
 from baobabgap.scheduling import plan_starts
-from baobabgap.scheduling import Prospect
 from baobabgap.scheduling import RunTimes
 from baobabgap.scheduling import TargetHealth
 from baobabgap.scheduling._planner import urgency_of
@@ -41,9 +41,9 @@
     )
 
 
-def make_prospect(core_s: float) -> Prospect:
+def make_admission_input(core_s: float) -> AdmissionInput:
     """Return the input for a job that must wait for the whole backlog."""
-    return Prospect(core_s, core_s, 1.0, 1.0)
+    return AdmissionInput(core_s, core_s, 1.0, 1.0)
 
 
 def planned_starts(
@@ -226,8 +226,10 @@
 
     def test_job_that_would_end_too_late_is_refused(self) -> None:
         targets = [make_target('r', 10)]
-        self.assertIsNone(admit(targets, self.STEPS, make_prospect(9.0)))
-        refusal = admit(targets, self.STEPS, make_prospect(30.0))
+        self.assertIsNone(
+            admit(targets, self.STEPS, make_admission_input(9.0))
+        )
+        refusal = admit(targets, self.STEPS, make_admission_input(30.0))
         assert refusal is not None
         # After the retry delay the wait is within the patience.
         self.assertGreaterEqual(refusal.retry_after_ms, 2000)
@@ -241,25 +243,29 @@
         }
         for name, (ahead_core_s, is_admitted) in cases.items():
             with self.subTest(name):
-                prospect = Prospect(ahead_core_s, 99.0, 0.3, 1.0)
-                refusal = admit(targets, self.STEPS, prospect)
+                admission_input = AdmissionInput(ahead_core_s, 99.0, 0.3, 1.0)
+                refusal = admit(targets, self.STEPS, admission_input)
                 self.assertEqual(is_admitted, refusal is None)
 
     def test_late_job_is_admitted_without_backlog(self) -> None:
-        prospect = Prospect(0.0, 0.0, -2.0, -1.0)
-        self.assertIsNone(admit([make_target('r')], self.STEPS, prospect))
+        admission_input = AdmissionInput(0.0, 0.0, -2.0, -1.0)
+        self.assertIsNone(
+            admit([make_target('r')], self.STEPS, admission_input)
+        )
 
     def test_job_that_fits_nowhere_is_refused(self) -> None:
         huge = (Step(1, Demand(99_000, 1, 0), 100),)
         self.assertIsNotNone(
-            admit([make_target('r')], huge, make_prospect(0.0))
+            admit([make_target('r')], huge, make_admission_input(0.0))
         )
 
     def test_closed_targets_do_not_count_as_capacity(self) -> None:
         closed = make_target('r1', 10)
         closed.is_open = False
         targets = [closed, make_target('r2', 1)]
-        self.assertIsNotNone(admit(targets, self.STEPS, make_prospect(5.0)))
+        self.assertIsNotNone(
+            admit(targets, self.STEPS, make_admission_input(5.0))
+        )
 
     def test_returning_upstreams_count_as_capacity(self) -> None:
         """Jobs must not be refused just because upstreams are returning.
@@ -268,9 +274,13 @@
         capacity looks small and the expected wait long.
         """
         targets = [make_target('r1', 10), make_target('r2', 10)]
-        self.assertIsNotNone(admit(targets, self.STEPS, make_prospect(100.0)))
-        self.assertIsNone(admit(targets, self.STEPS, make_prospect(100.0), 9))
-        refusal = admit(targets, self.STEPS, make_prospect(200.0), 8)
+        self.assertIsNotNone(
+            admit(targets, self.STEPS, make_admission_input(100.0))
+        )
+        self.assertIsNone(
+            admit(targets, self.STEPS, make_admission_input(100.0), 9)
+        )
+        refusal = admit(targets, self.STEPS, make_admission_input(200.0), 8)
         assert refusal is not None
         self.assertLess(refusal.retry_after_ms, 1500)
 
@@ -290,11 +300,11 @@
         steps = (Step(1, TASK, 1000),)
         plan = make_plan('a', *steps)
         backlog = Backlog([(urgency_of(plan, 0, 0.0), 20.0)], 0.0)
-        prospect = Prospect.from_backlog(backlog, plan, 0.0)
-        self.assertIsNone(admit(targets, steps, prospect))
+        admission_input = AdmissionInput.from_backlog(backlog, plan, 0.0)
+        self.assertIsNone(admit(targets, steps, admission_input))
         plan.awaited_until = 2.5
-        prospect = Prospect.from_backlog(backlog, plan, 0.0)
-        self.assertIsNotNone(admit(targets, steps, prospect))
+        admission_input = AdmissionInput.from_backlog(backlog, plan, 0.0)
+        self.assertIsNotNone(admit(targets, steps, admission_input))
 
 
 class BacklogTest(unittest.TestCase):
