--- a/baobabgap/dispatch/_books.py
+++ b/baobabgap/dispatch/_books.py
@@ -112,7 +112,7 @@
     def backlog(self, service: str, now: float) -> Backlog:
         """Return the work that waits in a service and could start."""
         held = self._backlog_by_service.get(service)
-        if held is None or now - held.looked_at > _BACKLOG_AGE_S:
+        if held is None or now - held.observed_at > _BACKLOG_AGE_S:
             held = Backlog.from_plans(self._waiting_plans(service), now)
             self._backlog_by_service[service] = held
         return held
--- a/baobabgap/dispatch/_call_desk.py
+++ b/baobabgap/dispatch/_call_desk.py
@@ -248,7 +248,7 @@
             reason=refusal.reason,
             ahead_core_s=round(admission_input.ahead_core_s, 2),
             backlog_core_s=round(admission_input.total_core_s, 2),
-            backlog_age_ms=round(1000 * (now - backlog.looked_at)),
+            backlog_age_ms=round(1000 * (now - backlog.observed_at)),
             on_time_patience_s=round(admission_input.on_time_patience_s, 3),
             patience_s=round(admission_input.late_patience_s, 3),
             upstreams=len(targets),
--- a/baobabgap/scheduling/_backlog.py
+++ b/baobabgap/scheduling/_backlog.py
@@ -25,9 +25,9 @@
     """
 
     def __init__(
-        self, work: Iterable[tuple[Urgency, float]], looked_at: float
+        self, work: Iterable[tuple[Urgency, float]], observed_at: float
     ) -> None:
-        self.looked_at: Final = looked_at
+        self.observed_at: Final = observed_at
         ordered = sorted(work)
         self._urgencies = [urgency for urgency, _ in ordered]
         # Cumulative work up to and including each urgency.
@@ -44,7 +44,7 @@
 
     def add(self, plan: JobPlan) -> None:
         """Add the work of a newly admitted job."""
-        self._added_work.extend(_waiting_work(plan, self.looked_at))
+        self._added_work.extend(_waiting_work(plan, self.observed_at))
 
     @property
     def total_core_s(self) -> float:
@@ -54,7 +54,7 @@
 
     def ahead_core_s(self, plan: JobPlan) -> float:
         """Return the work that starts before a job not yet in the backlog."""
-        urgency = urgency_of(plan, 0, self.looked_at)
+        urgency = urgency_of(plan, 0, self.observed_at)
         count = bisect_right(self._urgencies, urgency)
         before = self._sums[count - 1] if count else 0.0
         return before + sum(
