--- a/baobabgap/dispatch/_call_desk.py
+++ b/baobabgap/dispatch/_call_desk.py
@@ -134,7 +134,7 @@
                 continue
             if not books.takeover.may_start(plan.job):
                 continue
-            if now <= plan.late_limit(0):
+            if now <= plan.latest_useful_start(0):
                 continue
             backlog_core_s = books.backlog(plan.job.service, now).total_core_s
             retry_after_ms = retry_after(
--- a/baobabgap/scheduling/_admission.py
+++ b/baobabgap/scheduling/_admission.py
@@ -55,7 +55,7 @@
             backlog.ahead_core_s(plan),
             backlog.total_core_s,
             plan.latest_start(0) - now,
-            plan.late_limit(0) - now,
+            plan.latest_useful_start(0) - now,
         )
 
 
--- a/baobabgap/scheduling/_job_plan.py
+++ b/baobabgap/scheduling/_job_plan.py
@@ -110,7 +110,7 @@
         rest_s = self.expected_s[step] + self._after_s[step]
         return self.arrived_at + self.objective_s - rest_s
 
-    def late_limit(self, step: int) -> float:
+    def latest_useful_start(self, step: int) -> float:
         """Return when it becomes useless to start a step's tasks.
 
         A job started later would end far past its objective, or after its
--- a/baobabgap/scheduling/_planner.py
+++ b/baobabgap/scheduling/_planner.py
@@ -104,7 +104,7 @@
     margin_s = _MARGIN_S + _MARGIN_SHARE * plan.expected_s[step]
     if now <= latest_start - margin_s:
         lateness = 0
-    elif now <= plan.late_limit(step):
+    elif now <= plan.latest_useful_start(step):
         lateness = 1
     else:
         lateness = 2
--- a/baobabgap/scheduling/tests/test_decisions.py
+++ b/baobabgap/scheduling/tests/test_decisions.py
@@ -285,15 +285,15 @@
         self.assertLess(refusal.retry_after_ms, 1500)
 
 
-class LateLimitTest(unittest.TestCase):
+class LatestUsefulStartTest(unittest.TestCase):
     """The time from which starting a waiting job is useless."""
 
     def test_limited_by_the_time_the_caller_waits(self) -> None:
         # Its objective is 1.66 s, three times of which is 4.98 s.
         plan = make_plan('a', Step(1, TASK, 1000))
-        self.assertAlmostEqual(3.98, plan.late_limit(0))
+        self.assertAlmostEqual(3.98, plan.latest_useful_start(0))
         plan.awaited_until = 2.5
-        self.assertAlmostEqual(1.5, plan.late_limit(0))
+        self.assertAlmostEqual(1.5, plan.latest_useful_start(0))
 
     def test_job_that_would_outlast_its_caller_is_refused(self) -> None:
         targets = [make_target('r', 10)]
