--- a/baobabgap/dispatch/_agent_desk.py
+++ b/baobabgap/dispatch/_agent_desk.py
@@ -302,7 +302,7 @@
                 self._settle_failed(plan, task, is_current)
             case RunEnd.INTERRUPTED:
                 if is_current:
-                    plan.note_gone(task)
+                    plan.requeue(task)
 
     def _settle_done(
         self, plan: JobPlan, task: PlannedTask, is_current: bool
@@ -321,7 +321,7 @@
         """Let a failed task wait again, unless its job fails by it."""
         if len(task.failed_runs) < plan.job.attempts:
             if is_current:
-                plan.note_gone(task)
+                plan.requeue(task)
         elif plan.job.is_volatile:
             if is_current:
                 task.upstream = ''
--- a/baobabgap/dispatch/_run_book.py
+++ b/baobabgap/dispatch/_run_book.py
@@ -92,7 +92,7 @@
             plan, task = found
             if reason in _SUSPICIOUS_REASONS:
                 task.avoided.add(view.name)
-            plan.note_gone(task)
+            plan.requeue(task)
 
     def drop_all(self, view: AgentView, reason: str) -> None:
         """All runs of an upstream are over."""
--- a/baobabgap/scheduling/_job_plan.py
+++ b/baobabgap/scheduling/_job_plan.py
@@ -139,7 +139,7 @@
         longest_s = self.longest_done_s[step]
         self.longest_done_s[step] = max(longest_s or 0.0, run_s)
 
-    def note_gone(self, task: PlannedTask) -> None:
+    def requeue(self, task: PlannedTask) -> None:
         """Let a task wait again after a run that ended without success."""
         if task.upstream:
             task.upstream = ''
