--- a/baobabgap/scheduling/_job_plan.py
+++ b/baobabgap/scheduling/_job_plan.py
@@ -11,7 +11,7 @@
 from baobabgap.accepted import UnfinishedJob
 from baobabgap.scheduling._run_times import RunTimes
 
-# Multiple of its latency objective after which a job is hardly worth running.
+# Multiple of the objective of a job after which it is hardly worth running.
 LATE_FACTOR: Final = 3.0
 
 
--- a/baobabgap/scheduling/_planner.py
+++ b/baobabgap/scheduling/_planner.py
@@ -64,9 +64,9 @@
 ) -> list[Placement]:
     """Place as many waiting tasks as fit, the most urgent first.
 
-    `far_factor` multiplies the run time on an upstream outside the rack of
-    a step's data. Targets and tasks are unchanged on return; the caller
-    carries out the placements.
+    `far_factor` multiplies the run time on an upstream outside the rack
+    of a step's data. Targets and tasks are unchanged on return; the
+    caller carries out the placements.
     """
     placements: list[Placement] = []
     waiting_steps = [
