--- a/baobabgap/dispatch/_control_node.py
+++ b/baobabgap/dispatch/_control_node.py
@@ -62,7 +62,7 @@
     # Milliseconds for which the state of an ended job can be read.
     retention_ms: int
     # How much longer a task takes away from its data.
-    far_factor: float
+    off_rack_factor: float
     # Members of the control group; others stand by.
     wanted_members: int
     # Seconds of silence after which a member may be replaced.
@@ -102,7 +102,7 @@
             self._state,
             self._committer,
             options.lease_timing,
-            options.far_factor,
+            options.off_rack_factor,
             self._leadership.is_confirmed,
             self._leadership.begin_again,
             self.metrics,
--- a/baobabgap/dispatch/_scheduler.py
+++ b/baobabgap/dispatch/_scheduler.py
@@ -65,7 +65,7 @@
         state: AcceptedState,
         committer: Committer,
         timing: LeaseTiming,
-        far_factor: float,
+        off_rack_factor: float,
         is_confirmed: Callable[[], bool],
         on_failure: Callable[[], None],
         metrics: Metrics,
@@ -89,7 +89,9 @@
         )
         self._entries = EntryDesk(books, state, committer)
         self._watch = Watch(books, runs, self._agents, timing)
-        self._starter = TaskStarter(books, runs, far_factor, timing, metrics)
+        self._starter = TaskStarter(
+            books, runs, off_rack_factor, timing, metrics
+        )
 
     def tell(self, event: Event) -> None:
         """Hand over what has happened."""
--- a/baobabgap/dispatch/_starter.py
+++ b/baobabgap/dispatch/_starter.py
@@ -32,13 +32,13 @@
         self,
         books: Books,
         runs: RunBook,
-        far_factor: float,
+        off_rack_factor: float,
         timing: LeaseTiming,
         metrics: Metrics,
     ) -> None:
         self._books: Final = books
         self._runs: Final = runs
-        self._far_factor: Final = far_factor
+        self._off_rack_factor: Final = off_rack_factor
         # What is left of an older authority may be too short for a lease.
         self._authority_s: Final = timing.authority_s - timing.longest_lease_s
         self._metrics: Final = metrics
@@ -62,7 +62,7 @@
             if view.target and view.may_start(self._authority_s):
                 targets_by_service[view.target.service].append(view.target)
         placements = plan_starts(
-            plans, targets_by_service, self._far_factor, time.monotonic()
+            plans, targets_by_service, self._off_rack_factor, time.monotonic()
         )
         if placements:
             self._order(placements)
--- a/baobabgap/scheduling/_planner.py
+++ b/baobabgap/scheduling/_planner.py
@@ -59,12 +59,12 @@
 def plan_starts(
     plans: Iterable[JobPlan],
     targets_by_service: dict[str, list[PlacementTarget]],
-    far_factor: float,
+    off_rack_factor: float,
     now: float,
 ) -> list[Placement]:
     """Place as many waiting tasks as fit, the most urgent first.
 
-    `far_factor` multiplies the run time on an upstream outside the rack
+    `off_rack_factor` multiplies the run time on an upstream outside the rack
     of a step's data. Targets and tasks are unchanged on return; the
     caller carries out the placements.
     """
@@ -85,7 +85,9 @@
         targets = usable_by_service.get(service, [])
         if service in full_services:
             continue
-        step_placements = _place_step(waiting_step, targets, far_factor, now)
+        step_placements = _place_step(
+            waiting_step, targets, off_rack_factor, now
+        )
         placements.extend(step_placements)
         waiting = waiting_step.plan.waiting_by_step[waiting_step.step]
         if len(step_placements) < len(waiting) and _is_unconstrained(
@@ -122,7 +124,7 @@
 def _place_step(
     waiting_step: _WaitingStep,
     targets: list[PlacementTarget],
-    far_factor: float,
+    off_rack_factor: float,
     now: float,
 ) -> list[Placement]:
     plan = waiting_step.plan
@@ -139,13 +141,13 @@
             step,
             task.avoided,
             task_count_by_upstream,
-            far_factor,
+            off_rack_factor,
             now,
         )
         if target is None and task.avoided:
             # An upstream where the task failed is better than none.
             target = choose_target(
-                targets, step, (), task_count_by_upstream, far_factor, now
+                targets, step, (), task_count_by_upstream, off_rack_factor, now
             )
         if target is None:
             break
--- a/baobabgap/scheduling/_targets.py
+++ b/baobabgap/scheduling/_targets.py
@@ -75,14 +75,14 @@
     step: Step,
     avoided: Collection[str],
     task_count_by_upstream: dict[str, int],
-    far_factor: float,
+    off_rack_factor: float,
     now: float,
 ) -> PlacementTarget | None:
     """Return the target where a task of a step ends soonest, or None.
 
     `targets` are those that `usable_targets` returns. `avoided` names
     upstreams to leave out; `task_count_by_upstream` counts the tasks of the
-    step on each. `far_factor` multiplies the run time on an upstream
+    step on each. `off_rack_factor` multiplies the run time on an upstream
     outside the rack of the step's data. Among equally fast targets the one
     with the largest free share wins: spreading the load limits the jobs
     that the loss of one upstream affects.
@@ -96,7 +96,7 @@
             continue
         slowness = target.kind_slowness * target.health.slowdown
         if step.data_rack and step.data_rack not in target.labels:
-            slowness *= far_factor
+            slowness *= off_rack_factor
         cost = (round(slowness, 1), -target.free_share)
         if best is None or cost < best_cost:
             best, best_cost = target, cost
