--- a/baobabgap/scheduling/_job_plan.py
+++ b/baobabgap/scheduling/_job_plan.py
@@ -107,18 +107,18 @@
 
     def latest_start(self, step: int) -> float:
         """Return when a step must start for the job to be on time."""
-        rest_s = self.expected_s[step] + self._after_s[step]
-        return self.arrived_at + self.objective_s - rest_s
+        remaining_s = self.expected_s[step] + self._after_s[step]
+        return self.arrived_at + self.objective_s - remaining_s
 
     def latest_useful_start(self, step: int) -> float:
-        """Return when it becomes useless to start a step's tasks.
+        """Return the latest time at which starting a step is still useful.
 
         A job started later would end far past its objective, or after its
         caller has stopped waiting.
         """
-        rest_s = self.expected_s[step] + self._after_s[step]
+        remaining_s = self.expected_s[step] + self._after_s[step]
         expires_at = self.arrived_at + LATE_FACTOR * self.objective_s
-        return min(expires_at, self.awaited_until) - rest_s
+        return min(expires_at, self.awaited_until) - remaining_s
 
     def note_started(self, task: PlannedTask, upstream: str, run: int) -> None:
         """Record a run that was ordered, or was found on an upstream."""
--- a/baobabgap/scheduling/tests/test_decisions.py
+++ b/baobabgap/scheduling/tests/test_decisions.py
@@ -286,7 +286,7 @@
 
 
 class LatestUsefulStartTest(unittest.TestCase):
-    """The time from which starting a waiting job is useless."""
+    """The latest time at which starting a waiting job is useful."""
 
     def test_limited_by_the_time_the_caller_waits(self) -> None:
         # Its objective is 1.66 s, three times of which is 4.98 s.
