--- a/baobabgap/dispatch/_agent_handler.py
+++ b/baobabgap/dispatch/_agent_handler.py
@@ -36,8 +36,8 @@
 from baobabgap.dispatch._timing import boottime_clock
 from baobabgap.dispatch._timing import LeaseTiming
 from baobabgap.scheduling import JobPlan
+from baobabgap.scheduling import PlacementTarget
 from baobabgap.scheduling import PlannedTask
-from baobabgap.scheduling import Room
 from baobabgap.telemetry import log_event
 from baobabgap.transport import Connection
 
@@ -193,14 +193,16 @@
             if previous is not None:
                 self._runs.drop_all(view, 'upstream is gone')
             view.last_end_number = 0
-            view.room = None
+            view.target = None
         view.upstream = upstream
         if upstream is None:
             self.dismiss(view)
             return
-        if view.room is None:
-            view.room = _room_of(view, upstream)
-        view.room.is_open = upstream.is_reachable and not upstream.is_draining
+        if view.target is None:
+            view.target = _target_of(view, upstream)
+        view.target.is_open = (
+            upstream.is_reachable and not upstream.is_draining
+        )
         if previous != upstream:
             log_event(
                 'upstream_changed',
@@ -238,8 +240,8 @@
         )
 
     def _handle_gone_runs(self, view: AgentView, message: RunsGone) -> None:
-        if message.reason in _REFUSALS and view.room is not None:
-            view.room.health.note_refused(time.monotonic())
+        if message.reason in _REFUSALS and view.target is not None:
+            view.target.health.note_refused(time.monotonic())
         for row in message.runs:
             run = view.run_by_task.get(row.task)
             if run is not None and run.number == row.run:
@@ -300,7 +302,7 @@
                 self._apply_failed(plan, task, is_current)
             case RunEnd.INTERRUPTED:
                 if is_current:
-                    plan.note_gone(task)
+                    plan.requeue(task)
 
     def _apply_done(
         self, plan: JobPlan, task: PlannedTask, is_current: bool
@@ -319,7 +321,7 @@
         """Queue a failed task again unless its job fails."""
         if len(task.failed_runs) < plan.job.attempts:
             if is_current:
-                plan.note_gone(task)
+                plan.requeue(task)
         elif plan.job.is_volatile:
             if is_current:
                 task.upstream = ''
@@ -327,16 +329,16 @@
 
     def _record_outcome(self, view: AgentView, row: EndRow, run: Run) -> None:
         """Update the upstream's health and the run times from an end."""
-        room = view.room
-        if room is None:
+        target = view.target
+        if target is None:
             return
         now = time.monotonic()
         run_s = now - run.started_at
         match row.end:
             case RunEnd.DONE:
-                self._record_run_time(room, row, run, run_s)
+                self._record_run_time(target, row, run, run_s)
             case RunEnd.FAILED:
-                is_suspended = room.health.note_failed(now)
+                is_suspended = target.health.note_failed(now)
                 log_event(
                     'run_failed',
                     job=row.task.job_id,
@@ -344,29 +346,29 @@
                     run=row.run,
                     agent=view.name,
                     run_ms=round(1000 * run_s),
-                    failures_in_row=room.health.failures_in_row,
+                    failures_in_row=target.health.failures_in_row,
                     suspended=is_suspended,
                 )
 
     def _record_run_time(
-        self, room: Room, row: EndRow, run: Run, run_s: float
+        self, target: PlacementTarget, row: EndRow, run: Run, run_s: float
     ) -> None:
         if run.was_found:
             # Its total run time is unknown.
-            room.health.note_done(run.expected_s, run.expected_s)
+            target.health.note_done(run.expected_s, run.expected_s)
             return
-        room.health.note_done(run_s, run.expected_s * room.kind_slowness)
+        target.health.note_done(run_s, run.expected_s * target.kind_slowness)
         plan = self._term_state.plan_by_id.get(row.task.job_id)
         if plan is not None:
             step = plan.job.steps[row.task.step]
             plan.note_run_time(row.task.step, run_s)
             self._term_state.run_times.observe(
-                plan.job.queue, room.kind, step.estimate_ms, run_s
+                plan.job.queue, target.kind, step.estimate_ms, run_s
             )
 
 
-def _room_of(view: AgentView, upstream: UpstreamState) -> Room:
-    room = Room(
+def _target_of(view: AgentView, upstream: UpstreamState) -> PlacementTarget:
+    target = PlacementTarget(
         view.name,
         upstream.service,
         upstream.availability_zone,
@@ -375,5 +377,5 @@
         upstream.capacity,
     )
     for run in view.run_by_task.values():
-        room.occupy(run.demand)
-    return room
+        target.occupy(run.demand)
+    return target
--- a/baobabgap/dispatch/_call_handler.py
+++ b/baobabgap/dispatch/_call_handler.py
@@ -26,9 +26,9 @@
 from baobabgap.dispatch._run_tracker import RunTracker
 from baobabgap.dispatch._term_state import TermState
 from baobabgap.queues import QueueMatch
+from baobabgap.scheduling import AdmissionInput
 from baobabgap.scheduling import admit
 from baobabgap.scheduling import JobPlan
-from baobabgap.scheduling import Prospect
 from baobabgap.scheduling import retry_after
 from baobabgap.telemetry import log_event
 from baobabgap.telemetry import Metrics
@@ -135,13 +135,13 @@
                 continue
             if not term_state.takeover.may_start(plan.job):
                 continue
-            if now <= plan.late_limit(0):
+            if now <= plan.latest_useful_start(0):
                 continue
             backlog_core_s = term_state.backlog(
                 plan.job.service, now
             ).total_core_s
             retry_after_ms = retry_after(
-                term_state.rooms_of(plan.job.service),
+                term_state.targets_of(plan.job.service),
                 backlog_core_s,
                 returning=term_state.returning_upstreams(
                     plan.job.service, now
@@ -238,11 +238,11 @@
         """Refuse a job that can't be served; return whether it is admitted."""
         job = plan.job
         now = time.monotonic()
-        rooms = self._term_state.rooms_of(job.service)
+        targets = self._term_state.targets_of(job.service)
         backlog = self._term_state.backlog(job.service, now)
-        prospect = Prospect.from_backlog(backlog, plan, now)
+        admission_input = AdmissionInput.from_backlog(backlog, plan, now)
         returning = self._term_state.returning_upstreams(job.service, now)
-        refusal = admit(rooms, job.steps, prospect, returning)
+        refusal = admit(targets, job.steps, admission_input, returning)
         if refusal is None:
             backlog.add(plan)
             return True
@@ -252,12 +252,12 @@
             job=job.job_id,
             queue=job.queue,
             reason=refusal.reason,
-            ahead_core_s=round(prospect.ahead_core_s, 2),
-            backlog_core_s=round(prospect.total_core_s, 2),
-            backlog_age_ms=round(1000 * (now - backlog.looked_at)),
-            on_time_patience_s=round(prospect.on_time_patience_s, 3),
-            patience_s=round(prospect.late_patience_s, 3),
-            upstreams=len(rooms),
+            ahead_core_s=round(admission_input.ahead_core_s, 2),
+            backlog_core_s=round(admission_input.total_core_s, 2),
+            backlog_age_ms=round(1000 * (now - backlog.observed_at)),
+            on_time_patience_s=round(admission_input.on_time_patience_s, 3),
+            patience_s=round(admission_input.late_patience_s, 3),
+            upstreams=len(targets),
             returning_upstreams=returning,
             retry_after_ms=refusal.retry_after_ms,
         )
--- a/baobabgap/dispatch/_control_node.py
+++ b/baobabgap/dispatch/_control_node.py
@@ -62,7 +62,7 @@
     # Milliseconds for which the state of an ended job can be read.
     retention_ms: int
     # Factor by which a task takes longer outside the rack of its data.
-    far_factor: float
+    off_rack_factor: float
     # Target number of group members; further hosts stand by.
     wanted_members: int
     # Seconds of silence after which a member may be replaced.
@@ -102,7 +102,7 @@
             self._state,
             self._committer,
             options.lease_timing,
-            options.far_factor,
+            options.off_rack_factor,
             self._leadership.is_confirmed,
             self._leadership.restart_term,
             self.metrics,
--- a/baobabgap/dispatch/_run_tracker.py
+++ b/baobabgap/dispatch/_run_tracker.py
@@ -72,8 +72,8 @@
     def remove(self, view: AgentView, task_id: TaskId) -> Run:
         """Remove an ended run and release its resources."""
         run = view.run_by_task.pop(task_id)
-        if view.room is not None:
-            view.room.release(run.demand)
+        if view.target is not None:
+            view.target.release(run.demand)
         return run
 
     def drop(self, view: AgentView, task_id: TaskId, reason: str) -> None:
@@ -92,7 +92,7 @@
             plan, task = found
             if reason in _SUSPICIOUS_REASONS:
                 task.avoided.add(view.name)
-            plan.note_gone(task)
+            plan.requeue(task)
 
     def drop_all(self, view: AgentView, reason: str) -> None:
         """Drop all runs of an upstream."""
@@ -120,8 +120,8 @@
 
     def _occupy(self, view: AgentView, run: Run) -> None:
         view.run_by_task[run.task] = run
-        if view.room is not None:
-            view.room.occupy(run.demand)
+        if view.target is not None:
+            view.target.occupy(run.demand)
 
     def _send_stop(self, view: AgentView, run: Run) -> None:
         if view.connection is None:
--- a/baobabgap/dispatch/_scheduler.py
+++ b/baobabgap/dispatch/_scheduler.py
@@ -65,7 +65,7 @@
         state: AcceptedState,
         committer: Committer,
         timing: LeaseTiming,
-        far_factor: float,
+        off_rack_factor: float,
         is_confirmed: Callable[[], bool],
         on_failure: Callable[[], None],
         metrics: Metrics,
@@ -106,7 +106,7 @@
             term_state, runs, self._agents, timing
         )
         self._starter = TaskStarter(
-            term_state, runs, far_factor, timing, metrics
+            term_state, runs, off_rack_factor, timing, metrics
         )
 
     def post_event(self, event: Event) -> None:
--- a/baobabgap/dispatch/_term_state.py
+++ b/baobabgap/dispatch/_term_state.py
@@ -15,8 +15,8 @@
 from baobabgap.queues import QueueTable
 from baobabgap.scheduling import Backlog
 from baobabgap.scheduling import JobPlan
+from baobabgap.scheduling import PlacementTarget
 from baobabgap.scheduling import PlannedTask
-from baobabgap.scheduling import Room
 from baobabgap.scheduling import RunTimes
 
 # Seconds after an election within which agents known to an earlier leader, and
@@ -84,12 +84,12 @@
         task = plan.task_by_id.get(task_id) if plan else None
         return (plan, task) if plan and task else None
 
-    def rooms_of(self, service: str) -> list[Room]:
+    def targets_of(self, service: str) -> list[PlacementTarget]:
         """Return the upstreams of a service, open to new runs or not."""
         return [
-            view.room
+            view.target
             for view in self.view_by_name.values()
-            if view.room is not None and view.room.service == service
+            if view.target is not None and view.target.service == service
         ]
 
     def returning_upstreams(self, service: str, now: float) -> int:
@@ -100,19 +100,21 @@
         """
         if now - self._began_at > _AGENT_RETURN_S:
             return 0
-        rooms = [
-            view.room
+        targets = [
+            view.target
             for view in self.view_by_name.values()
-            if view.room is not None
+            if view.target is not None
         ]
-        missing = len(self.view_by_name) - len(rooms)
-        known_of_service = sum(1 for room in rooms if room.service == service)
-        return missing * known_of_service // max(1, len(rooms))
+        missing = len(self.view_by_name) - len(targets)
+        known_of_service = sum(
+            1 for target in targets if target.service == service
+        )
+        return missing * known_of_service // max(1, len(targets))
 
     def backlog(self, service: str, now: float) -> Backlog:
         """Return the work of a service that is waiting and may start."""
         cached = self._backlog_by_service.get(service)
-        if cached is None or now - cached.looked_at > _BACKLOG_MAX_AGE_S:
+        if cached is None or now - cached.observed_at > _BACKLOG_MAX_AGE_S:
             cached = Backlog.from_plans(self._waiting_plans(service), now)
             self._backlog_by_service[service] = cached
         return cached
--- a/baobabgap/scheduling/__init__.py
+++ b/baobabgap/scheduling/__init__.py
@@ -1,35 +1,38 @@
-"""Decisions on load: admission, order, placing, health. No I/O, no clock."""
+"""Scheduling policies: admission, order of starts, placement, health.
 
+They do no I/O and read no clock; the caller passes the time.
+"""
+
+from baobabgap.scheduling._admission import AdmissionInput
 from baobabgap.scheduling._admission import admit
-from baobabgap.scheduling._admission import Prospect
 from baobabgap.scheduling._admission import Refusal
 from baobabgap.scheduling._admission import retry_after
 from baobabgap.scheduling._backlog import Backlog
 from baobabgap.scheduling._health import is_overdue
-from baobabgap.scheduling._health import RoomHealth
+from baobabgap.scheduling._health import TargetHealth
 from baobabgap.scheduling._job_plan import JobPlan
 from baobabgap.scheduling._job_plan import LATE_FACTOR
 from baobabgap.scheduling._job_plan import PlannedTask
 from baobabgap.scheduling._planner import Placement
 from baobabgap.scheduling._planner import plan_starts
-from baobabgap.scheduling._rooms import choose_room
-from baobabgap.scheduling._rooms import Room
 from baobabgap.scheduling._run_times import RunTimes
+from baobabgap.scheduling._targets import choose_target
+from baobabgap.scheduling._targets import PlacementTarget
 
 __all__ = [
     'admit',
     'Backlog',
-    'choose_room',
+    'choose_target',
     'is_overdue',
     'JobPlan',
     'LATE_FACTOR',
     'Placement',
     'plan_starts',
     'PlannedTask',
-    'Prospect',
+    'AdmissionInput',
     'Refusal',
     'retry_after',
-    'Room',
-    'RoomHealth',
+    'PlacementTarget',
     'RunTimes',
+    'TargetHealth',
 ]
