--- a/baobabgap/control/_claims.py
+++ b/baobabgap/control/_claims.py
@@ -1,9 +1,9 @@
-"""The claims: which incarnation of which entry owns each job.
+"""Claims: which incarnation of which entry owns each job.
 
-A claim is kept for ever in the sense that matters: once it is evicted,
-its client's floor is at or above the job's time of issue, so that the
-same identifier is refused as too old and never granted again. Times of
-issue are compared within one client only.
+The job of an evicted claim is never granted again: eviction raises the
+client's floor to at least the job's time of issue, and an identifier
+issued at or before the floor is refused as too old. Times of issue are
+compared within one client only.
 """
 
 from collections.abc import Sequence
@@ -25,27 +25,29 @@
 from baobabgap.messages import ClaimOutcome
 from baobabgap.messages import ClaimStatus
 
-# One overflow evicts this fraction of all claims, so that the search for
-# the client that has the most is paid once for many evictions.
-_OVERFLOW_FRACTION: Final = 256
+# An overflow evicts about the limit on claims divided by this, so that one
+# search for the client with the most claims serves many evictions.
+_OVERFLOW_DIVISOR: Final = 256
 _JOB_SEPARATOR: Final = '\n'
 
-# The compact form of an outcome in the log's results.
+# An outcome in compact form, as in the results of log commands: job, status
+# and, if the job is owned, the fields of its owner.
 OutcomeRow = Sequence[str]
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimLimits:
-    """How many claims are kept, and for how long."""
+    """Limits on the number and the age of claims."""
 
-    # All clients together.
-    kept: int
-    # For one client.
-    kept_per_client: int
-    # Milliseconds of log time while the client goes on to claim.
+    # Claims of all clients together.
+    max_claims: int
+    # Claims of one client.
+    max_claims_per_client: int
+    # Milliseconds of log time for which a claim is kept while its client
+    # makes further claims.
     window_ms: int
     # Clients whose floor is kept.
-    clients: int
+    max_clients: int
 
 
 class Claims:
@@ -55,19 +57,22 @@
         self._limits = limits
         self._client_by_name: dict[str, ClientClaims] = {}
         self._owners = Owners()
-        self._kept = 0
+        self._kept_count = 0
 
     @property
-    def kept(self) -> int:
-        """How many claims are kept."""
-        return self._kept
+    def kept_count(self) -> int:
+        """The number of claims that are kept."""
+        return self._kept_count
 
     def claim(self, command: ClaimCommand, now_ms: int) -> list[OutcomeRow]:
-        """Grant what is free; `now_ms` is the log time."""
+        """Grant the jobs that are unclaimed.
+
+        `now_ms` is the log time. There is one row for each claim.
+        """
         owner = Owner(
             command.owner, command.owner_incarnation, command.owner_address
         )
-        owner_index = self._owners.begin_use(owner)
+        owner_index = self._owners.acquire(owner)
         rows = [
             self._claim_one(
                 job,
@@ -76,7 +81,7 @@
                     token,
                     command.sequence,
                     now_ms,
-                    _fixed(digest),
+                    _fixed_length_digest(digest),
                 ),
             )
             for job, digest, token in command.claims
@@ -85,14 +90,14 @@
         return rows
 
     def look_up(self, query: LookupQuery) -> list[OutcomeRow]:
-        """Tell what claims would meet."""
+        """Return the outcome that each claim would have."""
         return [
             self._look_up_one(query.owner_incarnation, job, digest, token)
             for job, digest, token in query.claims
         ]
 
     def release(self, command: ReleaseCommand) -> None:
-        """Forget claims of the owner that no later request renewed."""
+        """Remove claims of the owner that no later request has renewed."""
         for job in command.jobs:
             claims = self._client_by_name.get(split_job(job)[0])
             kept = claims.get(job) if claims else None
@@ -103,13 +108,13 @@
                 continue
             if kept.sequence < command.sequence:
                 claims.release(job)
-                self._forget(kept.owner_index)
+                self._note_removal(kept.owner_index)
 
     def _claim_one(self, job: str, wanted: KeptClaim) -> OutcomeRow:
         client, issued_ms = split_job(job)
         claims = self._client_by_name.get(client)
         if claims is None:
-            if len(self._client_by_name) >= self._limits.clients:
+            if len(self._client_by_name) >= self._limits.max_clients:
                 return (job, ClaimStatus.WINDOW_PASSED.value)
             claims = ClientClaims()
             self._client_by_name[client] = claims
@@ -127,8 +132,8 @@
         if not self._make_room(claims, issued_ms, wanted.granted_ms):
             return (job, ClaimStatus.WINDOW_PASSED.value)
         claims.add(issued_ms, job, wanted.to_bytes())
-        self._owners.use(wanted.owner_index)
-        self._kept += 1
+        self._owners.retain(wanted.owner_index)
+        self._kept_count += 1
         return (job, ClaimStatus.GRANTED.value, *owner)
 
     def _look_up_one(
@@ -140,7 +145,7 @@
             return (job, ClaimStatus.UNCLAIMED.value)
         kept = claims.get(job)
         if kept is not None:
-            wanted = _fixed(digest) if digest else kept.digest
+            wanted = _fixed_length_digest(digest) if digest else kept.digest
             status = self._status(kept, incarnation, wanted, token)
             return (job, status.value, *self._owners.get(kept.owner_index))
         if issued_ms <= claims.floor_ms:
@@ -150,7 +155,7 @@
     def _status(
         self, kept: KeptClaim, incarnation: str, digest: bytes, token: int
     ) -> ClaimStatus:
-        """Tell what a claim of a job that is claimed already meets."""
+        """Return the status of a further claim for a claimed job."""
         if kept.digest != digest:
             return ClaimStatus.CONFLICT
         owner = self._owners.get(kept.owner_index)
@@ -161,39 +166,42 @@
     def _make_room(
         self, claims: ClientClaims, issued_ms: int, now_ms: int
     ) -> bool:
-        """Evict for one more claim; tell whether it may be granted.
+        """Evict for one more claim; return whether it may be granted.
 
         A claim that is refused for its own age evicts nothing.
         """
-        lowest = claims.lowest()
-        is_full = len(claims.claim_by_job) >= self._limits.kept_per_client
-        if is_full and lowest is not None and issued_ms <= lowest[0]:
+        oldest = claims.oldest()
+        is_full = (
+            len(claims.claim_by_job) >= self._limits.max_claims_per_client
+        )
+        if is_full and oldest is not None and issued_ms <= oldest[0]:
             return False
         if issued_ms <= claims.floor_ms:
             return False
         if is_full:
-            self._evict_lowest(claims)
-        self._evict_aged(claims, issued_ms, now_ms)
-        if self._kept >= self._limits.kept:
+            self._evict_oldest(claims)
+        self._evict_expired(claims, issued_ms, now_ms)
+        if self._kept_count >= self._limits.max_claims:
             self._evict_from_largest()
         return issued_ms > claims.floor_ms
 
-    def _evict_aged(
+    def _evict_expired(
         self, claims: ClientClaims, issued_ms: int, now_ms: int
     ) -> None:
-        """Evict claims that are too old and were issued before this one.
+        """Evict claims past the window that were issued before this one.
 
-        Age alone never lifts the floor to the time of the new claim, so
-        that a job issued by a clock far ahead does no lasting harm.
+        Age alone never raises the floor to the time of the new claim:
+        otherwise one job issued by a clock far ahead would make all later
+        claims of the client too old.
         """
-        oldest_ms = now_ms - self._limits.window_ms
-        lowest = claims.lowest()
-        while lowest is not None and lowest[0] < issued_ms:
-            kept = claims.get(lowest[1])
-            if kept is None or kept.granted_ms >= oldest_ms:
+        cutoff_ms = now_ms - self._limits.window_ms
+        oldest = claims.oldest()
+        while oldest is not None and oldest[0] < issued_ms:
+            kept = claims.get(oldest[1])
+            if kept is None or kept.granted_ms >= cutoff_ms:
                 return
-            self._evict_lowest(claims)
-            lowest = claims.lowest()
+            self._evict_oldest(claims)
+            oldest = claims.oldest()
 
     def _evict_from_largest(self) -> None:
         _, name = max(
@@ -201,20 +209,20 @@
             for name, claims in self._client_by_name.items()
         )
         claims = self._client_by_name[name]
-        excess = 1 + self._limits.kept // _OVERFLOW_FRACTION
+        excess = 1 + self._limits.max_claims // _OVERFLOW_DIVISOR
         for _ in range(min(excess, len(claims.claim_by_job))):
-            self._evict_lowest(claims)
+            self._evict_oldest(claims)
 
-    def _evict_lowest(self, claims: ClientClaims) -> None:
-        packed = claims.evict_lowest()
-        self._forget(KeptClaim.from_bytes(packed).owner_index)
+    def _evict_oldest(self, claims: ClientClaims) -> None:
+        packed = claims.evict_oldest()
+        self._note_removal(KeptClaim.from_bytes(packed).owner_index)
 
-    def _forget(self, owner_index: int) -> None:
+    def _note_removal(self, owner_index: int) -> None:
         self._owners.release(owner_index)
-        self._kept -= 1
+        self._kept_count -= 1
 
     def to_document(self) -> list[Any]:
-        """Return everything as plain values for a snapshot."""
+        """Return all claims as plain values for a snapshot."""
         clients = [
             [
                 name,
@@ -227,11 +235,11 @@
         return [self._owners.to_document(), clients]
 
     def restore(self, document: list[Any]) -> None:
-        """Replace everything by what `to_document` has returned."""
+        """Replace all claims by a result of `to_document`."""
         owners, client_rows = document
         self._owners = Owners.from_document(owners)
         self._client_by_name = {}
-        self._kept = 0
+        self._kept_count = 0
         size = CLAIM_LAYOUT.size
         for name, floor_ms, joined_jobs, joined_claims in client_rows:
             claims = ClientClaims(floor_ms)
@@ -239,18 +247,18 @@
             for number, job in enumerate(jobs):
                 packed = joined_claims[number * size : (number + 1) * size]
                 claims.add(split_job(job)[1], job, packed)
-            self._kept += len(jobs)
+            self._kept_count += len(jobs)
             self._client_by_name[name] = claims
 
 
 def outcome_from_row(row: OutcomeRow) -> ClaimOutcome:
-    """Turn the log's compact result into a message."""
+    """Convert the compact form of an outcome to a message."""
     job, status, *owner = row
     return ClaimOutcome(job, ClaimStatus(status), *owner)
 
 
-def _fixed(digest: bytes) -> bytes:
-    """Return a digest of the length in which digests are kept."""
+def _fixed_length_digest(digest: bytes) -> bytes:
+    """Return the digest, hashed unless it has `DIGEST_BYTES` bytes."""
     if len(digest) == DIGEST_BYTES:
         return digest
     return hashlib.sha256(digest).digest()
--- a/baobabgap/control/_client.py
+++ b/baobabgap/control/_client.py
@@ -1,4 +1,4 @@
-"""The control group's client in entries, agents and tools."""
+"""Client of the control group, used by entries, agents and tools."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -10,9 +10,9 @@
 from typing import Final
 
 from baobabgap._exceptions import BaobabgapError
-from baobabgap.control._host_choice import HostChoice
-from baobabgap.control._pending import ClaimSender
-from baobabgap.control._pending import PendingRequests
+from baobabgap.control._host_selector import HostSelector
+from baobabgap.control._pending_requests import ClaimSender
+from baobabgap.control._pending_requests import PendingRequests
 from baobabgap.messages import Changes
 from baobabgap.messages import Claim
 from baobabgap.messages import ClaimOutcome
@@ -32,15 +32,15 @@
 from baobabgap.transport import dial
 from baobabgap.transport import LinkTiming
 
-_TICK_S: Final = 0.05
+_MAINTENANCE_INTERVAL_S: Final = 0.05
 
 
 class ControlClient:
     """Keeps one link to a control host and fails over to the others.
 
-    `on_changes` is called in the order of versions and never with an
-    older one than before. While no control host answers, the process
-    keeps the configuration that it knows; `silent_s` tells for how long::
+    `on_changes` is called in increasing order of versions. While no
+    control host is reachable, the process keeps the last configuration
+    that it has applied; `silent_s` is the time without a link::
 
         client = ControlClient.from_settings(
             settings, 'entry', incarnation, address, pool, apply, ('agent',)
@@ -52,18 +52,18 @@
     def __init__(
         self,
         settings: Settings,
-        own: Hello,
+        hello: Hello,
         pool: Executor,
         on_changes: Callable[[Changes], None],
         member_roles: tuple[str, ...],
     ) -> None:
         self._settings = settings
-        self._own = own
+        self._hello = hello
         self._dial_timing = LinkTiming(
             settings.links.heartbeat_s, settings.links.silence_s
         )
         self._timing = self._dial_timing
-        if own.role == 'agent':
+        if hello.role == 'agent':
             self._timing = LinkTiming(
                 settings.control.member_heartbeat_s,
                 settings.control.member_silence_s,
@@ -71,16 +71,16 @@
         self._pool = pool
         self._on_changes = on_changes
         self._member_roles = member_roles
-        self._choice = HostChoice.from_settings(settings, own.role)
+        self._host_selector = HostSelector.from_settings(settings, hello.role)
         self._pending = PendingRequests(
-            ClaimSender(own.name, own.incarnation, own.address)
+            ClaimSender(hello.name, hello.incarnation, hello.address)
         )
         self._stopping = threading.Event()
         self._connection: Connection | None = None
         self._version = 0
-        self._last_contact = time.monotonic()
+        self._last_link_end = time.monotonic()
         self._is_superseded = False
-        self._messages_taken = 0
+        self._messages_received = 0
 
     @classmethod
     def from_settings(
@@ -93,15 +93,15 @@
         on_changes: Callable[[Changes], None],
         member_roles: tuple[str, ...],
     ) -> 'ControlClient':
-        """Build a client that has not dialled yet."""
-        own = Hello(
+        """Build a client; `start` begins to dial."""
+        hello = Hello(
             settings.name,
             role,
             incarnation,
             address,
             settings.place.availability_zone,
         )
-        return cls(settings, own, pool, on_changes, member_roles)
+        return cls(settings, hello, pool, on_changes, member_roles)
 
     @property
     def version(self) -> int:
@@ -110,36 +110,37 @@
 
     @property
     def is_connected(self) -> bool:
-        """Tell whether there is a link to a control host."""
+        """Whether there is a link to a control host."""
         connection = self._connection
         return connection is not None and not connection.is_closed
 
     @property
     def peer(self) -> str:
-        """The name of the host that the link goes, or last went, to."""
+        """The name of the control host that is or was last connected."""
         return self._pending.peer
 
     @property
     def is_superseded(self) -> bool:
-        """Tell whether another process has taken this one's name."""
+        """Whether another process has joined under this one's name."""
         return self._is_superseded
 
     @property
     def silent_s(self) -> float:
-        """Seconds since there was last a link; 0 while there is one."""
+        """Seconds since the last link ended; 0 while there is one."""
         if self.is_connected:
             return 0.0
-        return time.monotonic() - self._last_contact
+        return time.monotonic() - self._last_link_end
 
     def start(self) -> None:
-        """Begin to dial, in tasks of the pool."""
+        """Start the client's tasks in the pool."""
         self._pool.submit(self._run)
-        self._pool.submit(self._tick_loop)
+        self._pool.submit(self._maintenance_loop)
 
     def stop(self, *, leaving: bool = True) -> None:
-        """Leave, close the link and fail what was not answered.
+        """Close the link and fail the requests that were not answered.
 
-        A process that does not leave is taken for dead a little later.
+        With `leaving`, the control group is told of the planned stop.
+        Otherwise it records the member as failed after a grace period.
         """
         self._stopping.set()
         connection = self._connection
@@ -150,46 +151,50 @@
         self._pending.fail_all('this process stops')
 
     def claim(self, claim: Claim) -> Future[ClaimOutcome]:
-        """Claim a job; fails with `ControlUnavailableError` in time."""
+        """Claim a job.
+
+        The future fails with `ControlUnavailableError` if there is no
+        answer within `claim_wait_s`.
+        """
         future = self._pending.add_claim(
             claim, self._settings.control.claim_wait_s, lookup_only=False
         )
-        self._send_waiting()
+        self._send_pending()
         return future
 
     def lookup(self, claim: Claim) -> Future[ClaimOutcome]:
-        """Ask what a claim would meet, as of now."""
+        """Ask for the outcome that a claim would have now."""
         future = self._pending.add_claim(
             claim, self._settings.control.claim_wait_s, lookup_only=True
         )
-        self._send_waiting()
+        self._send_pending()
         return future
 
     def release(self, jobs: Sequence[str]) -> None:
-        """Give up claims of jobs of which nothing was started.
+        """Release claims of jobs of which nothing was started.
 
-        This is a favour to the next claim and is not repeated if the
-        link is lost.
+        This is best effort: it only lets the next claim succeed, and is
+        not sent again if the link is lost.
         """
         connection = self._connection
         if connection is not None:
             connection.send(
                 ReleaseClaims(
-                    self._own.name,
-                    self._own.incarnation,
+                    self._hello.name,
+                    self._hello.incarnation,
                     tuple(jobs),
-                    self._pending.next_request(),
+                    self._pending.allocate_request_number(),
                 )
             )
 
     def put_ticket(
         self, number: int, state_by_key: dict[str, Any]
     ) -> Future[TicketOutcome]:
-        """Hand in a change ticket."""
+        """Submit a change ticket."""
         return self._request(PutTicket(0, number, state_by_key), 'ticket')
 
     def query(self, topic: str) -> Future[Any]:
-        """Fetch a page: members, tickets, configuration or status."""
+        """Fetch the page `members`, `tickets`, `configuration` or `status`."""
         return self._request(QueryControl(0, topic), 'query')
 
     def _request(
@@ -197,65 +202,67 @@
     ) -> Future[Any]:
         wait_s = self._settings.control.request_wait_s
         future = self._pending.add_request(message, wait_s, step)
-        self._send_waiting()
+        self._send_pending()
         return future
 
-    def _send_waiting(self) -> None:
+    def _send_pending(self) -> None:
         connection = self._connection
         if connection is not None and not connection.is_closed:
             connection.send(*self._pending.take_messages())
 
-    def _tick_loop(self) -> None:
-        while not self._stopping.wait(_TICK_S):
+    def _maintenance_loop(self) -> None:
+        while not self._stopping.wait(_MAINTENANCE_INTERVAL_S):
             self._pending.expire()
-            self._send_waiting()
+            self._send_pending()
             connection = self._connection
             if connection is not None:
                 self._follow_leader(connection)
 
     def _run(self) -> None:
         while not self._stopping.is_set() and not self._is_superseded:
-            before = self._messages_taken
-            address = self._choice.next_address()
+            received_before = self._messages_received
+            address = self._host_selector.next_address()
             try:
-                self._hold_link(address)
+                self._run_link(address)
             except BaobabgapError as error:
-                self._choice.note_lost(address, time.monotonic())
+                self._host_selector.note_lost(address, time.monotonic())
                 log_event('control_client:link_lost', error=str(error))
             except Exception as error:
                 log_event('control_client:failed', error=repr(error))
-            was_useful = self._messages_taken != before
+            received_any = self._messages_received != received_before
             self._stopping.wait(
-                self._choice.pause_after(was_useful=was_useful)
+                self._host_selector.next_delay(received_any=received_any)
             )
 
-    def _hold_link(self, address: str) -> None:
-        connection = dial(address, self._own, self._dial_timing, self._pool)
+    def _run_link(self, address: str) -> None:
+        connection = dial(address, self._hello, self._dial_timing, self._pool)
         connection.use_timing(self._timing)
         try:
             self._pending.peer = connection.peer.name
             connection.send(Subscribe(self._version, self._member_roles))
             self._connection = connection
-            self._send_waiting()
+            self._send_pending()
             for message in connection.messages():
-                self._messages_taken += 1
-                self._take(connection, message)
+                self._messages_received += 1
+                self._handle(connection, message)
         finally:
-            self._last_contact = time.monotonic()
+            self._last_link_end = time.monotonic()
             self._connection = None
-            self._choice.forget_leader()
+            self._host_selector.forget_leader()
             connection.close()
             self._pending.link_lost()
 
-    def _take(self, connection: Connection, message: object) -> None:
-        if self._pending.take_answer(message):
-            self._send_waiting()
+    def _handle(self, connection: Connection, message: object) -> None:
+        if self._pending.handle_answer(message):
+            self._send_pending()
             return
         match message:
             case Changes():
                 self._apply(connection, message)
             case LeaderHint():
-                self._choice.note_leader(message.leader, message.address)
+                self._host_selector.note_leader(
+                    message.leader, message.address
+                )
                 self._follow_leader(connection)
             case Superseded():
                 self._is_superseded = True
@@ -266,7 +273,7 @@
                 connection.close()
 
     def _apply(self, connection: Connection, changes: Changes) -> None:
-        """Apply what is new; ask again if something is missing before."""
+        """Apply newer changes; subscribe again if earlier ones are missing."""
         if changes.to_version <= self._version:
             return
         if changes.from_version > self._version:
@@ -277,12 +284,12 @@
         connection.send(MemberReport(self._version))
 
     def _follow_leader(self, connection: Connection) -> None:
-        """Move an entry's link to the leader."""
-        if self._own.role != 'entry':
+        """Move the link of an entry to the leader."""
+        if self._hello.role != 'entry':
             return
-        address = self._choice.leader_to_move_to(
+        address = self._host_selector.leader_to_move_to(
             connection.peer.name, time.monotonic()
         )
         if address:
-            self._choice.prefer(address)
+            self._host_selector.prefer(address)
             connection.close()
--- a/baobabgap/control/_client_errors.py
+++ b/baobabgap/control/_client_errors.py
@@ -1,10 +1,10 @@
-"""How a request to the control group can fail at its sender."""
+"""Errors of requests to the control group."""
 
 from baobabgap._exceptions import BaobabgapError
 
 
 class ControlUnavailableError(BaobabgapError):
-    """The request was not carried out, or that can't be known.
+    """The request was not carried out, or its outcome is unknown.
 
     `unchanged` is true if the request certainly changed nothing.
     """
--- a/baobabgap/control/_gateway.py
+++ b/baobabgap/control/_command_router.py
@@ -1,4 +1,4 @@
-"""The way of a command to the log, on the leader or through it."""
+"""Routes commands and queries to the leader."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -16,11 +16,11 @@
 from baobabgap.replication import ReplicatedLog
 
 
-class Gateway:
-    """Carries out commands and queries wherever the leader is.
+class CommandRouter:
+    """Carries out commands and queries on this host or the leader.
 
     Futures fail with `NotLeader` if certainly nothing was changed, and
-    with `OutcomeUnknown` or another error if that can't be told.
+    with `OutcomeUnknown` or another error if the outcome is unknown.
     """
 
     def __init__(
@@ -38,21 +38,21 @@
         self._page = page
 
     def submit(self, command: Command) -> Future[Any]:
-        """Carry out a command or query, here or at the leader."""
+        """Carry out a command or query, here or on the leader."""
         data = encode_command(command)
         is_query = isinstance(command, LookupQuery | PageQuery)
         if self._log.is_leader:
-            return self.submit_here(data, is_query=is_query)
+            return self.submit_locally(data, is_query=is_query)
         return self._relay.submit(data, is_query=is_query)
 
-    def submit_here(self, data: bytes, *, is_query: bool) -> Future[Any]:
+    def submit_locally(self, data: bytes, *, is_query: bool) -> Future[Any]:
         """Carry out an encoded command or query on this host only."""
         if is_query:
-            return self._query_here(data)
+            return self._query_locally(data)
         now_ms = time.monotonic_ns() // 1_000_000
         return self._log.propose(stamp(data, self._incarnation, now_ms))
 
-    def _query_here(self, data: bytes) -> Future[Any]:
+    def _query_locally(self, data: bytes) -> Future[Any]:
         answer: Future[Any] = Future()
         barrier = self._log.read_barrier()
         barrier.add_done_callback(
--- a/baobabgap/control/_commands.py
+++ b/baobabgap/control/_commands.py
@@ -1,8 +1,9 @@
 """Commands of the control log and queries of its state, and their codec.
 
-They are plain data classes that become CBOR arrays of their fields. The
-leader puts a stamp of its own clock before each command; durations are
-only ever measured between stamps of one incarnation of one leader.
+Commands and queries are data classes that are encoded as a CBOR array of
+a code and the fields in order. The leader prefixes each command with a
+reading of its own clock; durations are only ever measured between
+readings of one incarnation of one leader.
 """
 
 from dataclasses import dataclass
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimCommand:
-    """One owner claims jobs."""
+    """Claims jobs for one owner."""
 
     # The entry that claims.
     owner: str
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseCommand:
-    """One owner gives up jobs of which it started nothing."""
+    """Releases claims of jobs of which the owner started nothing."""
 
     # The entry's incarnation.
     owner_incarnation: str
@@ -56,19 +57,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketCommand:
-    """A change ticket whose content has been validated."""
+    """Submits a change ticket whose content has been validated."""
 
     # The ticket's number.
     number: int
     # The state by key as canonical JSON.
     content: str
-    # The newest accepted number that the validation was based on.
+    # The newest accepted ticket number when the content was validated.
     base_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class JoinCommand:
-    """A member has connected to a control host."""
+    """Records that a member has connected to a control host."""
 
     # The member's name.
     name: str
@@ -76,7 +77,7 @@
     role: str
     # The member's incarnation.
     incarnation: str
-    # Where the member listens for internal links, or empty.
+    # The member's address for internal links, or empty.
     address: str
     # The member's availability zone.
     availability_zone: str
@@ -86,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveCommand:
-    """A member stops as planned."""
+    """Records the planned stop of a member."""
 
     # The member's name.
     name: str
@@ -95,10 +96,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DeathCommand:
-    """A member's link was lost and it has not come back in time.
+class MemberFailureCommand:
+    """Records that a member has not reconnected within the grace period.
 
-    Without effect if the member has been attached elsewhere since.
+    Has no effect if the member has been attached elsewhere since.
     """
 
     # The member's name.
@@ -111,9 +112,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupQuery:
-    """Asks what claims would meet."""
+    """Asks for the outcome that claims would have, without claiming."""
 
-    # The entry's incarnation that asks.
+    # The incarnation of the entry that asks.
     owner_incarnation: str
     # Job identifier, digest of its content and fencing token of each.
     claims: list[tuple[str, bytes, int]]
@@ -121,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PageQuery:
-    """Asks for a page of the operators' tool."""
+    """Asks for one of the pages for operators."""
 
     # members, tickets, configuration or status.
     topic: str
@@ -133,7 +134,7 @@
     | TicketCommand
     | JoinCommand
     | LeaveCommand
-    | DeathCommand
+    | MemberFailureCommand
     | LookupQuery
     | PageQuery
 )
@@ -144,7 +145,7 @@
     3: TicketCommand,
     4: JoinCommand,
     5: LeaveCommand,
-    6: DeathCommand,
+    6: MemberFailureCommand,
     7: LookupQuery,
     8: PageQuery,
 }
@@ -158,25 +159,25 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Pack a command or query into bytes."""
+    """Encode a command or query."""
     getters = _GETTERS_BY_CLASS[type(command)]
     code = _CODE_BY_CLASS[type(command)]
     return cbor2.dumps([code, *(getter(command) for getter in getters)])
 
 
 def decode_command(data: bytes) -> Command:
-    """Unpack what `encode_command` has packed."""
+    """Decode the result of `encode_command`."""
     code, *values = cbor2.loads(data)
     command: Command = _CLASS_BY_CODE[code](*values)
     return command
 
 
 def stamp(command: bytes, leader_incarnation: str, now_ms: int) -> bytes:
-    """Put the leader's clock reading before a command."""
+    """Prefix an encoded command with the leader's clock reading."""
     return cbor2.dumps([leader_incarnation, now_ms, command])
 
 
 def unstamp(data: bytes) -> tuple[str, int, bytes]:
-    """Return the leader's incarnation, its clock reading, the command."""
+    """Return the leader's incarnation, its clock reading and the command."""
     leader_incarnation, now_ms, command = cbor2.loads(data)
     return leader_incarnation, now_ms, command
--- a/baobabgap/control/_host.py
+++ b/baobabgap/control/_host.py
@@ -10,22 +10,22 @@
 from baobabgap._exceptions import BaobabgapError
 from baobabgap._exceptions import ConnectionLost
 from baobabgap._exceptions import SettingsError
+from baobabgap.control._background_tasks import BackgroundTasks
+from baobabgap.control._command_router import CommandRouter
 from baobabgap.control._commands import Attachment
 from baobabgap.control._commands import LeaveCommand
-from baobabgap.control._gateway import Gateway
 from baobabgap.control._host_web import create_application
+from baobabgap.control._membership_monitor import MembershipMonitor
 from baobabgap.control._pages import Pages
-from baobabgap.control._reaper import Reaper
 from baobabgap.control._relay import LeaderRelay
 from baobabgap.control._relay import RELAY_ROLE
 from baobabgap.control._relay_server import RelayServer
-from baobabgap.control._request_desk import RequestDesk
+from baobabgap.control._request_handler import RequestHandler
 from baobabgap.control._sessions import ENTRY_ROLE
 from baobabgap.control._sessions import Session
 from baobabgap.control._sessions import Sessions
 from baobabgap.control._state import ControlState
-from baobabgap.control._ticket_desk import TicketDesk
-from baobabgap.control._upkeep import Upkeep
+from baobabgap.control._ticket_submitter import TicketSubmitter
 from baobabgap.messages import Hello
 from baobabgap.messages import Leave
 from baobabgap.replication import ReplicatedLog
@@ -40,17 +40,17 @@
 from baobabgap.web import WebServer
 
 CONTROL_ROLE: Final = 'control'
-_THREADS: Final = 16384
+_MAX_THREADS: Final = 16384
 _HTTP_THREADS: Final = 4
-_LARGEST_BODY_BYTES: Final = 64 * 1024
-_STOP_WAIT_S: Final = 5.0
+_MAX_BODY_BYTES: Final = 64 * 1024
+_DRAIN_TIMEOUT_S: Final = 5.0
 
 
 class ControlHostProcess:
     """One host of the control group.
 
-    It serves the other hosts' replication links, the relays of hosts
-    that follow, and the sessions of members and tools, all on one port::
+    One port serves the replication links of the other hosts, the relay
+    links of followers, and the sessions of members and tools::
 
         host = ControlHostProcess.from_settings(settings)
         host.start()
@@ -60,9 +60,9 @@
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._own = _own_host(settings)
+        self._control_host = _own_host(settings)
         self._incarnation = uuid.uuid4().hex[:16]
-        self._pool = ThreadPoolExecutor(_THREADS, 'control')
+        self._pool = ThreadPoolExecutor(_MAX_THREADS, 'control')
         self._is_draining = False
         self.metrics: Final = Metrics()
         self._timing = LinkTiming(
@@ -79,8 +79,8 @@
         )
         self._build_request_handling()
         self._listener = Listener(
-            self._own.host,
-            self._own.port or settings.listen.internal_port,
+            self._control_host.host,
+            self._control_host.port or settings.listen.internal_port,
             self._hello,
             self._timing,
             self._pool,
@@ -92,7 +92,7 @@
             settings.listen.http_port,
             create_application(self),
             _HTTP_THREADS,
-            _LARGEST_BODY_BYTES,
+            _MAX_BODY_BYTES,
         )
         self._add_metrics()
 
@@ -103,30 +103,30 @@
 
     @property
     def internal_port(self) -> int:
-        """Where members, tools and the other hosts dial."""
+        """The port for members, tools and the other hosts."""
         return self._listener.port
 
     @property
     def http_port(self) -> int:
-        """Where health and metrics are served."""
+        """The HTTP port for health and metrics."""
         return self._web.port
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether requests can be carried out here."""
-        return not self._is_draining and self._upkeep.reaches_leader
+        """Whether this host can carry out requests."""
+        return not self._is_draining and self._background_tasks.reaches_leader
 
     def status(self) -> dict[str, Any]:
         """Describe this host for operators."""
         return self._pages.status()
 
     def start(self) -> None:
-        """Take part in the group and serve members."""
+        """Start replication, the ports and the background tasks."""
         self._log.start()
         self._listener.start()
         self._relay.start()
         self._web.start(self._pool)
-        self._upkeep.start()
+        self._background_tasks.start()
         log_event(
             'control:started',
             internal_port=self.internal_port,
@@ -134,13 +134,16 @@
         )
 
     def stop(self) -> None:
-        """Stop as planned; requests in progress are answered first."""
+        """Hand over leadership, answer requests in progress and stop.
+
+        Requests that take longer than a time limit are not answered.
+        """
         self._is_draining = True
-        self._upkeep.leave()
+        self._background_tasks.leave()
         if self._log.is_leader:
             self._log.transfer_leadership()
-        self._desk.close(_STOP_WAIT_S)
-        self._upkeep.stop()
+        self._request_handler.close(_DRAIN_TIMEOUT_S)
+        self._background_tasks.stop()
         self._listener.stop()
         self._sessions.close_all(self._pool)
         self._relay_server.close_all()
@@ -154,13 +157,13 @@
         settings = self._settings
         self._pages = Pages(self._state, self._sessions, self._log)
         self._relay = LeaderRelay(
-            self._hello_of_relay,
+            self._relay_hello,
             self._timing,
             self._pool,
             self._other_leader,
-            self._sessions.report_all_again,
+            self._sessions.mark_all_unforwarded,
         )
-        self._gateway = Gateway(
+        self._command_router = CommandRouter(
             self._log,
             self._state,
             self._incarnation,
@@ -168,13 +171,13 @@
             self._pages.page,
         )
         self._relay_server = RelayServer(
-            self._gateway, self._sessions.note_reports
+            self._command_router, self._sessions.note_reports
         )
-        self._desk = RequestDesk(
-            self._gateway.submit,
-            TicketDesk(
+        self._request_handler = RequestHandler(
+            self._command_router.submit,
+            TicketSubmitter(
                 self._state,
-                self._gateway.submit,
+                self._command_router.submit,
                 settings.control.largest_ticket_bytes,
                 settings.control.request_wait_s,
             ),
@@ -182,16 +185,16 @@
             self.metrics,
             self._pool,
         )
-        self._reaper = Reaper(
+        self._membership_monitor = MembershipMonitor(
             self._state,
             self._sessions,
-            self._gateway.submit,
+            self._command_router.submit,
             Attachment(settings.name, self._incarnation, 0),
             self._live_hosts,
             settings.control.return_grace_s,
             settings.links.silence_s + settings.control.return_grace_s,
         )
-        self._upkeep = Upkeep(
+        self._background_tasks = BackgroundTasks(
             settings.control,
             self._pool,
             self._hello,
@@ -199,8 +202,8 @@
             self._sessions,
             self._log,
             self._relay,
-            self._gateway,
-            self._reaper,
+            self._command_router,
+            self._membership_monitor,
         )
 
     def _add_metrics(self) -> None:
@@ -209,7 +212,7 @@
         metrics.add_source(PROCESS_TRAFFIC.as_metrics)
         metrics.gauge('baobabgap_control_version', lambda: state.version)
         metrics.gauge(
-            'baobabgap_control_kept_claims', lambda: state.claims.kept
+            'baobabgap_control_kept_claims', lambda: state.claims.kept_count
         )
         metrics.gauge(
             'baobabgap_control_sessions', lambda: len(self._sessions.all())
@@ -223,11 +226,11 @@
             self._settings.name,
             CONTROL_ROLE,
             self._incarnation,
-            f'{self._own.host}:{self.internal_port}',
+            f'{self._control_host.host}:{self.internal_port}',
             self._settings.place.availability_zone,
         )
 
-    def _hello_of_relay(self) -> Hello:
+    def _relay_hello(self) -> Hello:
         return replace(self._hello(), role=RELAY_ROLE)
 
     def _other_leader(self) -> ControlHost | None:
@@ -256,19 +259,23 @@
         session = self._sessions.open(connection)
         try:
             if session.is_member:
-                self._reaper.keep_joined(session, time.monotonic())
+                self._membership_monitor.ensure_joined(
+                    session, time.monotonic()
+                )
             for message in connection.messages():
-                self._take(session, message)
+                self._handle(session, message)
         finally:
             self._sessions.close(session)
 
-    def _take(self, session: Session, message: object) -> None:
-        if self._desk.answer(message, session.connection.send):
+    def _handle(self, session: Session, message: object) -> None:
+        if self._request_handler.handle(message, session.connection.send):
             return
-        self._sessions.take(session, message)
+        self._sessions.handle(session, message)
         if isinstance(message, Leave):
             peer = session.connection.peer
-            self._gateway.submit(LeaveCommand(peer.name, peer.incarnation))
+            self._command_router.submit(
+                LeaveCommand(peer.name, peer.incarnation)
+            )
 
 
 def _own_host(settings: Settings) -> ControlHost:
--- a/baobabgap/control/_host_web.py
+++ b/baobabgap/control/_host_web.py
@@ -11,7 +11,7 @@
 
 
 class HostService(Protocol):
-    """What the pages need of the process."""
+    """The parts of the process that the HTTP application needs."""
 
     @property
     def metrics(self) -> Metrics:
@@ -19,7 +19,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether requests can be carried out here."""
+        """Whether this host can carry out requests."""
 
     def status(self) -> dict[str, Any]:
         """Describe this host for operators."""
--- a/baobabgap/control/_members.py
+++ b/baobabgap/control/_members.py
@@ -1,9 +1,10 @@
-"""The members: which processes of the system are there.
+"""Membership: which processes belong to the system.
 
-Each record knows the version at which it last changed, so that what a
-reader has missed is found without a list of single changes. Members
-that are gone stay for a while as records that are not alive; once the
-oldest of them is forgotten, a reader from before that needs it all.
+Each record holds the version at which it last changed, so that the
+changes since a version are found without a list of single changes.
+Members that are gone are kept for a while as records that are not alive.
+Once the oldest of them has been forgotten, a reader at a version from
+before it changed needs the whole state.
 """
 
 from dataclasses import dataclass
@@ -12,19 +13,19 @@
 from typing import Final
 
 from baobabgap.control._commands import Attachment
-from baobabgap.control._commands import DeathCommand
 from baobabgap.control._commands import JoinCommand
 from baobabgap.control._commands import LeaveCommand
+from baobabgap.control._commands import MemberFailureCommand
 from baobabgap.messages import MemberRecord
 
-_SUPERSEDED_REMEMBERED: Final = 8
+_MAX_SUPERSEDED_KEPT: Final = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A member's record and what the control group notes beside it."""
+    """A member's record with the group's internal data about it."""
 
-    # What the other members hear of.
+    # The part that is published to other members.
     record: MemberRecord
     # The version at which the record last changed.
     version: int
@@ -39,18 +40,18 @@
 class Members:
     """All members, changed by commands in the order of the log."""
 
-    def __init__(self, kept_gone: int) -> None:
-        self._kept_gone = kept_gone
-        # In the order of their versions.
+    def __init__(self, max_kept_gone: int) -> None:
+        self._max_kept_gone = max_kept_gone
+        # Ordered by the version of the member.
         self._member_by_name: dict[str, Member] = {}
-        self._gone = 0
+        self._gone_count = 0
         self._complete_since = 0
-        # Counts changes of any kind, on this host only.
+        # Counts commands and restores of any kind, on this host only.
         self.revision = 0
 
     @property
     def complete_since(self) -> int:
-        """The version from which on no change has been forgotten."""
+        """The version after which no change has been forgotten."""
         return self._complete_since
 
     def get(self, name: str) -> Member | None:
@@ -58,13 +59,13 @@
         return self._member_by_name.get(name)
 
     def all(self) -> list[Member]:
-        """Return all members, those that changed last at the end."""
+        """Return all members, ordered by their last change."""
         return list(self._member_by_name.values())
 
     def changed_after(
         self, version: int, roles: tuple[str, ...]
     ) -> tuple[MemberRecord, ...]:
-        """Return the records of these roles that changed since."""
+        """Return the records of these roles that changed after `version`."""
         found = []
         for member in reversed(self._member_by_name.values()):
             if member.version <= version:
@@ -74,9 +75,9 @@
         return tuple(reversed(found))
 
     def join(self, command: JoinCommand, index: int) -> str:
-        """Attach the member; return the incarnation that is the member.
+        """Attach the member; return the current incarnation of the name.
 
-        That is another one than the sender's if it was superseded.
+        It differs from the command's incarnation if that was superseded.
         """
         self.revision += 1
         attachment = Attachment(*command.attachment)
@@ -96,7 +97,7 @@
             return known.record.incarnation
         if command.incarnation != known.record.incarnation:
             earlier = (*known.superseded, known.record.incarnation)
-            superseded = earlier[-_SUPERSEDED_REMEMBERED:]
+            superseded = earlier[-_MAX_SUPERSEDED_KEPT:]
             self._store(Member(record, index, attachment, False, superseded))
         elif known.has_left or known.record == record:
             self._member_by_name[command.name] = replace(
@@ -111,7 +112,7 @@
         return command.incarnation
 
     def leave(self, command: LeaveCommand, index: int) -> None:
-        """Note that the incarnation has left for good."""
+        """Record the planned stop of an incarnation, which is final."""
         self.revision += 1
         known = self._member_by_name.get(command.name)
         if known is None or known.record.incarnation != command.incarnation:
@@ -121,8 +122,8 @@
         else:
             self._member_by_name[command.name] = replace(known, has_left=True)
 
-    def die(self, command: DeathCommand, index: int) -> None:
-        """Note a death, unless the member was attached elsewhere since."""
+    def mark_failed(self, command: MemberFailureCommand, index: int) -> None:
+        """Record a failure unless the member was attached elsewhere since."""
         self.revision += 1
         known = self._member_by_name.get(command.name)
         if known is None or not known.record.alive:
@@ -140,11 +141,11 @@
         name = member.record.name
         before = self._member_by_name.pop(name, None)
         if before is not None and not before.record.alive:
-            self._gone -= 1
+            self._gone_count -= 1
         self._member_by_name[name] = member
         if not member.record.alive:
-            self._gone += 1
-        if self._gone > self._kept_gone:
+            self._gone_count += 1
+        if self._gone_count > self._max_kept_gone:
             self._forget_oldest_gone()
 
     def _forget_oldest_gone(self) -> None:
@@ -154,11 +155,11 @@
             if not member.record.alive
         )
         self._complete_since = max(self._complete_since, oldest.version)
-        self._gone -= 1
+        self._gone_count -= 1
         del self._member_by_name[oldest.record.name]
 
     def to_document(self) -> list[Any]:
-        """Return everything as plain values for a snapshot."""
+        """Return all members as plain values for a snapshot."""
         rows = [
             [
                 member.record.name,
@@ -179,11 +180,11 @@
         return [self._complete_since, rows]
 
     def restore(self, document: list[Any]) -> None:
-        """Replace everything by what `to_document` has returned."""
+        """Replace all members by a result of `to_document`."""
         self.revision += 1
         self._complete_since, rows = document
         self._member_by_name = {}
-        self._gone = 0
+        self._gone_count = 0
         for row in rows:
             record = MemberRecord(*row[:6])
             attachment = Attachment(*row[7:10])
@@ -192,4 +193,4 @@
             )
             self._member_by_name[record.name] = member
             if not record.alive:
-                self._gone += 1
+                self._gone_count += 1
--- a/baobabgap/control/_reaper.py
+++ b/baobabgap/control/_membership_monitor.py
@@ -1,4 +1,4 @@
-"""Keeps the members' records true to the sessions that are open."""
+"""Keeps the records of members consistent with the open sessions."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -9,35 +9,37 @@
 
 from baobabgap.control._commands import Attachment
 from baobabgap.control._commands import Command
-from baobabgap.control._commands import DeathCommand
 from baobabgap.control._commands import JoinCommand
+from baobabgap.control._commands import MemberFailureCommand
 from baobabgap.control._members import Member
 from baobabgap.control._sessions import Session
 from baobabgap.control._sessions import Sessions
 from baobabgap.control._state import ControlState
 
-_PROPOSE_AGAIN_S: Final = 1.0
+_JOIN_RETRY_S: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
-    """Changes whenever records and sessions may differ anew."""
+class _Revisions:
+    """Revisions of all that the comparison depends on."""
 
-    # Counts changes of the members.
+    # The revision of the members.
     members: int
-    # Counts sessions that were opened or closed.
+    # The revision of the sessions.
     sessions: int
-    # The hosts that the leader hears of; None on the others.
+    # Incarnations connected to the leader; None on other hosts.
     live_hosts: frozenset[str] | None
 
 
-class Reaper:
-    """Proposes joins of members with a session, and deaths of the others.
+class MembershipMonitor:
+    """Proposes joins of members with a session, and failures of others.
 
-    A host answers for the members that are attached to it. The leader
-    answers, besides, for those attached to a host that it hears nothing
-    of; `live_hosts` returns the incarnations that it does hear of, or
-    None on a host that does not lead.
+    A host monitors the members that are attached to it. The leader also
+    monitors those attached to a host that is not connected to it.
+    `live_hosts` returns the incarnations of the hosts that are connected
+    to the leader, or None on a host that does not lead. A member without
+    a session fails after `return_grace_s`, or after `host_grace_s` if its
+    host is not connected, both in seconds.
     """
 
     def __init__(
@@ -45,7 +47,7 @@
         state: ControlState,
         sessions: Sessions,
         submit: Callable[[Command], Future[Any]],
-        own: Attachment,
+        own_attachment: Attachment,
         live_hosts: Callable[[], set[str] | None],
         return_grace_s: float,
         host_grace_s: float,
@@ -53,43 +55,49 @@
         self._state = state
         self._sessions = sessions
         self._submit = submit
-        self._own = own
+        self._own_attachment = own_attachment
         self._live_hosts = live_hosts
         self._return_grace_s = return_grace_s
         self._host_grace_s = host_grace_s
-        # When each attachment was first seen without a session.
+        # Since when each attachment is without a session, or when its failure
+        # was last proposed.
         self._missing_since: dict[Attachment, float] = {}
         self._has_difference = False
-        # What was seen when records and sessions agreed.
-        self._agreed: _Seen | None = None
+        # The revisions at the last comparison without a difference.
+        self._consistent_revisions: _Revisions | None = None
 
     def run_once(self) -> None:
-        """Compare records and sessions, and propose what differs.
+        """Compare records with sessions and propose the differences.
 
-        Nothing is compared while nothing has changed since they agreed.
+        The comparison is skipped if nothing has changed since the last
+        one without a difference.
         """
         now = time.monotonic()
         live_hosts = self._live_hosts()
-        seen = _Seen(
+        revisions = _Revisions(
             self._state.members.revision,
             self._sessions.revision,
             None if live_hosts is None else frozenset(live_hosts),
         )
-        if seen == self._agreed:
+        if revisions == self._consistent_revisions:
             return
         self._has_difference = False
         for session in self._sessions.all():
             if session.is_member and not session.has_left:
-                self.keep_joined(session, now)
-        self._bury_missing(now, live_hosts)
-        self._agreed = None if self._has_difference else seen
+                self.ensure_joined(session, now)
+        self._propose_failures(now, live_hosts)
+        self._consistent_revisions = (
+            None if self._has_difference else revisions
+        )
 
-    def keep_joined(self, session: Session, now: float) -> None:
-        """Propose the join of a member unless it is recorded."""
+    def ensure_joined(self, session: Session, now: float) -> None:
+        """Propose the join of a member unless it is already recorded."""
         peer = session.connection.peer
         known = self._state.member(peer.name)
         attachment = Attachment(
-            self._own.host, self._own.host_incarnation, session.number
+            self._own_attachment.host,
+            self._own_attachment.host_incarnation,
+            session.number,
         )
         if known is not None:
             if peer.incarnation in known.superseded:
@@ -100,7 +108,7 @@
                 return
         self._has_difference = True
         last = session.join_proposed_at
-        if last is not None and now - last < _PROPOSE_AGAIN_S:
+        if last is not None and now - last < _JOIN_RETRY_S:
             return
         session.join_proposed_at = now
         proposed = self._submit(
@@ -119,7 +127,9 @@
         )
         proposed.add_done_callback(session.note_join)
 
-    def _bury_missing(self, now: float, live_hosts: set[str] | None) -> None:
+    def _propose_failures(
+        self, now: float, live_hosts: set[str] | None
+    ) -> None:
         missing_since: dict[Attachment, float] = {}
         with self._state.lock:
             members = self._state.members.all()
@@ -132,30 +142,34 @@
             since = self._missing_since.get(attachment, now)
             missing_since[attachment] = since
             if now - since >= grace_s:
-                self._propose_death(member)
+                self._propose_failure(member)
                 missing_since[attachment] = now
         self._missing_since = missing_since
 
     def _grace_of_missing(
         self, member: Member, live_hosts: set[str] | None
     ) -> float | None:
-        """Return how long to wait for a missing member, else None."""
+        """Return the grace period in seconds, or None if it isn't missing."""
         if not member.record.alive:
             return None
         attachment = member.attachment
-        if attachment.host_incarnation == self._own.host_incarnation:
-            is_open = attachment == self._own or self._sessions.is_open(
-                attachment.session
+        if (
+            attachment.host_incarnation
+            == self._own_attachment.host_incarnation
+        ):
+            is_open = (
+                attachment == self._own_attachment
+                or self._sessions.is_open(attachment.session)
             )
             return None if is_open else self._return_grace_s
         if live_hosts is None or attachment.host_incarnation in live_hosts:
             return None
         return self._host_grace_s
 
-    def _propose_death(self, member: Member) -> None:
+    def _propose_failure(self, member: Member) -> None:
         attachment = member.attachment
         self._submit(
-            DeathCommand(
+            MemberFailureCommand(
                 member.record.name,
                 member.record.incarnation,
                 (
--- a/baobabgap/control/_owners.py
+++ b/baobabgap/control/_owners.py
@@ -1,11 +1,11 @@
-"""Who owns claims."""
+"""The reference-counted table of claim owners."""
 
 from typing import Any
 from typing import NamedTuple
 
 
 class Owner(NamedTuple):
-    """Who owns a claim; one object is shared by all its claims."""
+    """The owner of claims; all of its claims share one object."""
 
     # The entry's name.
     name: str
@@ -16,58 +16,58 @@
 
 
 class Owners:
-    """The owners of kept claims, each under an index of its own."""
+    """The owners of kept claims by index, with reference counts."""
 
     def __init__(self) -> None:
         self._next_index = 1
         self._index_by_owner: dict[Owner, int] = {}
         self._owner_by_index: dict[int, Owner] = {}
-        # Claims and commands in progress.
-        self._uses_by_index: dict[int, int] = {}
+        # Each claim holds a reference, and so does a command in progress.
+        self._references_by_index: dict[int, int] = {}
 
     def get(self, index: int) -> Owner:
         """Return the owner with this index."""
         return self._owner_by_index[index]
 
-    def begin_use(self, owner: Owner) -> int:
-        """Return the owner's index; it stays until it is released."""
+    def acquire(self, owner: Owner) -> int:
+        """Return the owner's index and take a reference to it."""
         index = self._index_by_owner.get(owner)
         if index is None:
             index = self._next_index
             self._next_index += 1
             self._index_by_owner[owner] = index
             self._owner_by_index[index] = owner
-            self._uses_by_index[index] = 0
-        self.use(index)
+            self._references_by_index[index] = 0
+        self.retain(index)
         return index
 
-    def use(self, index: int) -> None:
-        """Count one claim more."""
-        self._uses_by_index[index] += 1
+    def retain(self, index: int) -> None:
+        """Take one more reference."""
+        self._references_by_index[index] += 1
 
     def release(self, index: int) -> None:
-        """Count one claim less; an owner without any is forgotten."""
-        self._uses_by_index[index] -= 1
-        if self._uses_by_index[index] == 0:
-            del self._uses_by_index[index]
+        """Drop a reference; the last one removes the owner."""
+        self._references_by_index[index] -= 1
+        if self._references_by_index[index] == 0:
+            del self._references_by_index[index]
             del self._index_by_owner[self._owner_by_index.pop(index)]
 
     def to_document(self) -> list[Any]:
-        """Return everything as plain values for a snapshot."""
+        """Return all owners as plain values for a snapshot."""
         rows = [
-            [index, uses, *self._owner_by_index[index]]
-            for index, uses in self._uses_by_index.items()
+            [index, references, *self._owner_by_index[index]]
+            for index, references in self._references_by_index.items()
         ]
         return [self._next_index, rows]
 
     @classmethod
     def from_document(cls, document: list[Any]) -> 'Owners':
-        """Build owners from what `to_document` has returned."""
+        """Build the table from a result of `to_document`."""
         owners = cls()
         owners._next_index, rows = document
-        for index, uses, *fields in rows:
+        for index, references, *fields in rows:
             owner = Owner(*fields)
             owners._index_by_owner[owner] = index
             owners._owner_by_index[index] = owner
-            owners._uses_by_index[index] = uses
+            owners._references_by_index[index] = references
         return owners
--- a/baobabgap/control/_pages.py
+++ b/baobabgap/control/_pages.py
@@ -1,4 +1,4 @@
-"""The pages that the operators' tool shows."""
+"""Pages for operators."""
 
 from dataclasses import asdict
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class Pages:
-    """Builds pages as JSON documents from what this host has applied."""
+    """Builds pages as JSON documents from the state of this host."""
 
     def __init__(
         self, state: ControlState, sessions: Sessions, log: ReplicatedLog
@@ -20,7 +20,7 @@
         self._log = log
 
     def page(self, topic: str) -> dict[str, Any]:
-        """Return a page; raise `InvalidInput` for an unknown topic."""
+        """Return a page, or raise `InvalidInput` for an unknown topic."""
         match topic:
             case 'members':
                 return self._members()
@@ -38,13 +38,13 @@
                 )
 
     def status(self) -> dict[str, Any]:
-        """Describe this host; needs no leader."""
+        """Describe this host, also without a leader."""
         log = self._log.status()
         with self._state.lock:
             return {
                 'log': asdict(log),
                 'version': self._state.version,
-                'kept_claims': self._state.claims.kept,
+                'kept_claims': self._state.claims.kept_count,
                 'newest_ticket': self._state.tickets.newest_number,
                 'sessions': len(self._sessions.all()),
             }
--- a/baobabgap/control/_pending.py
+++ b/baobabgap/control/_pending_requests.py
@@ -1,7 +1,7 @@
-"""The requests of one process that the control group has not answered.
+"""Requests of one process that the control group has not answered yet.
 
-A request is sent again after each new link, since all of them are
-idempotent, until it is answered or its time is over.
+All requests are idempotent: each is sent again on every new link until it
+is answered or its deadline passes.
 """
 
 from collections.abc import Sequence
@@ -24,56 +24,56 @@
 from baobabgap.messages import QueryControl
 from baobabgap.messages import TicketOutcome
 
-_LARGEST_BATCH: Final = 512
-# Requests on the way at once; further claims wait and travel together.
-_REQUESTS_ON_THE_WAY: Final = 4
-_PAUSE_S: Final = 0.05
+_MAX_BATCH_CLAIMS: Final = 512
+# Further claims wait for an answer and are then sent in one batch.
+_MAX_REQUESTS_IN_FLIGHT: Final = 4
+_RETRY_DELAY_S: Final = 0.05
 
 
 @dataclass(slots=True)
-class _Pending:
-    """One claim or other request, from the call to its answer."""
+class _PendingRequest:
+    """A claim or other request that waits for its answer."""
 
     # The claim, or the message to send with its number filled in.
     content: Claim | PutTicket | QueryControl
-    # What the caller waits for.
+    # Completed with the answer or the error.
     future: Future[Any]
-    # When it is given up, on the monotonic clock.
+    # When it fails, on the monotonic clock.
     deadline: float
     # The step that an error names.
     step: str
     # True for a lookup.
     lookup_only: bool = False
-    # False once it was sent and not answered that nothing was changed.
+    # False once an attempt may have changed something.
     unchanged: bool = True
-    # Not sent again before this time.
+    # Not sent before this time, on the monotonic clock.
     not_before: float = 0.0
-    # Why the last attempt was not carried out.
+    # Why the last attempt failed.
     reason: str = 'no control host can be reached'
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimSender:
-    """Who claims."""
+    """The process in whose name claims are sent."""
 
     # The process's name.
     name: str
     # The process's incarnation.
     incarnation: str
-    # Where it listens for internal links, as host:port.
+    # The process's address for internal links, as host:port.
     address: str
 
 
 class PendingRequests:
-    """Batches, numbers, matches and expires requests."""
+    """Batches and numbers requests, matches answers, enforces deadlines."""
 
     def __init__(self, sender: ClaimSender) -> None:
         self._sender = sender
         self._lock = threading.Lock()
-        self._next_request = 1
-        self._waiting: list[_Pending] = []
-        self._batch_by_request: dict[int, list[_Pending]] = {}
-        # Answers come from the peer with this name.
+        self._next_number = 1
+        self._waiting: list[_PendingRequest] = []
+        self._batch_by_request: dict[int, list[_PendingRequest]] = {}
+        # The name of the control host at the other end of the link.
         self.peer = ''
 
     def add_claim(
@@ -89,27 +89,27 @@
         """Queue any other request."""
         return self._add(message, wait_s, step, False)
 
-    def next_request(self) -> int:
-        """Return a number for a message that has no answer."""
+    def allocate_request_number(self) -> int:
+        """Return a request number for a message that has no answer."""
         with self._lock:
-            return self._take_number()
+            return self._allocate_number()
 
     def take_messages(self) -> list[object]:
-        """Return what may be sent now; call again after each answer."""
+        """Return the messages to send now; call again after each answer."""
         messages: list[object] = []
         now = time.monotonic()
         with self._lock:
-            while len(self._batch_by_request) < _REQUESTS_ON_THE_WAY:
+            while len(self._batch_by_request) < _MAX_REQUESTS_IN_FLIGHT:
                 items = self._take_batch(now)
                 if not items:
                     break
-                request = self._take_number()
+                request = self._allocate_number()
                 self._batch_by_request[request] = items
-                messages.append(self._message(request, items))
+                messages.append(self._build_message(request, items))
         return messages
 
     def link_lost(self) -> None:
-        """Queue everything on the way for sending on the next link."""
+        """Queue all requests in flight for the next link."""
         with self._lock:
             for batch in self._batch_by_request.values():
                 for item in batch:
@@ -118,8 +118,11 @@
                 self._waiting.extend(batch)
             self._batch_by_request.clear()
 
-    def take_answer(self, message: object) -> bool:
-        """Complete what a message answers; tell whether it is an answer."""
+    def handle_answer(self, message: object) -> bool:
+        """Complete the request that `message` answers.
+
+        Return False if the message is no answer.
+        """
         match message:
             case ClaimOutcomes():
                 self._complete(message.request, message.outcomes)
@@ -128,15 +131,15 @@
             case ControlPage():
                 self._complete(message.request, [message.document])
             case ControlUnavailable():
-                self._try_again(message)
+                self._requeue(message)
             case _:
                 return False
         return True
 
     def expire(self) -> None:
-        """Fail what has waited for too long."""
+        """Fail the requests whose deadline has passed."""
         now = time.monotonic()
-        expired: list[_Pending] = []
+        expired: list[_PendingRequest] = []
         with self._lock:
             for batch in self._batch_by_request.values():
                 for item in batch:
@@ -159,7 +162,7 @@
             self._fail(item)
 
     def fail_all(self, reason: str) -> None:
-        """Fail everything: the process stops."""
+        """Fail all requests, as the process stops."""
         self.link_lost()
         with self._lock:
             items = self._waiting
@@ -177,18 +180,18 @@
     ) -> Future[Any]:
         future: Future[Any] = Future()
         deadline = time.monotonic() + wait_s
-        item = _Pending(content, future, deadline, step, lookup_only)
+        item = _PendingRequest(content, future, deadline, step, lookup_only)
         with self._lock:
             self._waiting.append(item)
         return future
 
-    def _take_number(self) -> int:
-        number = self._next_request
-        self._next_request += 1
+    def _allocate_number(self) -> int:
+        number = self._next_number
+        self._next_number += 1
         return number
 
-    def _take_batch(self, now: float) -> list[_Pending]:
-        """Take what is due and goes into one message together."""
+    def _take_batch(self, now: float) -> list[_PendingRequest]:
+        """Dequeue the requests that go into the next message."""
         first = next(
             (item for item in self._waiting if item.not_before <= now), None
         )
@@ -197,20 +200,22 @@
         if not isinstance(first.content, Claim):
             self._waiting.remove(first)
             return [first]
-        batch: list[_Pending] = []
-        rest: list[_Pending] = []
+        batch: list[_PendingRequest] = []
+        rest: list[_PendingRequest] = []
         for item in self._waiting:
-            belongs = (
+            fits_batch = (
                 isinstance(item.content, Claim)
                 and item.lookup_only == first.lookup_only
                 and item.not_before <= now
-                and len(batch) < _LARGEST_BATCH
+                and len(batch) < _MAX_BATCH_CLAIMS
             )
-            (batch if belongs else rest).append(item)
+            (batch if fits_batch else rest).append(item)
         self._waiting = rest
         return batch
 
-    def _message(self, request: int, items: Sequence[_Pending]) -> object:
+    def _build_message(
+        self, request: int, items: Sequence[_PendingRequest]
+    ) -> object:
         match items[0].content:
             case PutTicket() | QueryControl() as message:
                 return replace(message, request=request)
@@ -234,8 +239,8 @@
             if not item.future.done():
                 item.future.set_result(answer)
 
-    def _try_again(self, message: ControlUnavailable) -> None:
-        not_before = time.monotonic() + _PAUSE_S
+    def _requeue(self, message: ControlUnavailable) -> None:
+        not_before = time.monotonic() + _RETRY_DELAY_S
         with self._lock:
             batch = self._batch_by_request.pop(message.request, [])
             for item in batch:
@@ -245,7 +250,7 @@
                 if not item.future.done():
                     self._waiting.append(item)
 
-    def _fail(self, item: _Pending) -> None:
+    def _fail(self, item: _PendingRequest) -> None:
         if item.future.done():
             return
         only_reads = item.lookup_only or isinstance(item.content, QueryControl)
--- a/baobabgap/control/_relay.py
+++ b/baobabgap/control/_relay.py
@@ -1,4 +1,4 @@
-"""The link from a following control host to the leader."""
+"""The link of a follower to the leader, for relayed commands."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -21,11 +21,11 @@
 from baobabgap.transport import LinkTiming
 
 RELAY_ROLE: Final = 'relay'
-_PAUSE_S: Final = 0.05
+_REDIAL_DELAY_S: Final = 0.05
 
 
 class LeaderRelay:
-    """Keeps one link to whichever host leads and passes commands on.
+    """Keeps a link to the current leader and forwards commands to it.
 
     `other_leader` returns the leader, or None if there is none or if it
     is this host itself.
@@ -33,13 +33,13 @@
 
     def __init__(
         self,
-        own: Callable[[], Hello],
+        make_hello: Callable[[], Hello],
         timing: LinkTiming,
         pool: Executor,
         other_leader: Callable[[], ControlHost | None],
         on_open: Callable[[], None],
     ) -> None:
-        self._own = own
+        self._make_hello = make_hello
         self._timing = timing
         self._pool = pool
         self._other_leader = other_leader
@@ -52,18 +52,19 @@
         self._future_by_request: dict[int, Future[Any]] = {}
 
     def start(self) -> None:
-        """Begin to dial whichever host leads."""
+        """Start the task that dials the leader."""
         self._pool.submit(self._run)
 
     def stop(self) -> None:
-        """Close the link and dial no more."""
+        """Close the link and stop dialling."""
         self._stopping.set()
         self._close()
 
     def submit(self, command: bytes, *, is_query: bool) -> Future[Any]:
-        """Pass a command on; fails at once while there is no link.
+        """Forward a command or query to the leader.
 
-        The future fails with `NotLeader` (certainly unchanged) or with
+        The future fails with `NotLeader` if certainly nothing was changed,
+        at once while there is no link, and otherwise with
         `OutcomeUnknown`.
         """
         future: Future[Any] = Future()
@@ -79,7 +80,7 @@
         return future
 
     def report(self, version_by_member: dict[str, int]) -> bool:
-        """Pass on versions in force; tell whether there was a link."""
+        """Forward versions in force; return False if there is no link."""
         with self._lock:
             connection = self._connection
             if connection is None or connection.is_closed:
@@ -89,12 +90,12 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether there is a link to the leader."""
+        """Whether there is a link to the leader."""
         connection = self._connection
         return connection is not None and not connection.is_closed
 
     def check_leader(self) -> None:
-        """Give the link up if another host leads by now."""
+        """Close the link if its peer no longer leads."""
         if self._leader is not None and self._leader != self._other_leader():
             self._close()
 
@@ -108,15 +109,15 @@
             leader = self._other_leader()
             if leader is not None:
                 try:
-                    self._hold(leader)
+                    self._run_link(leader)
                 except BaobabgapError:
-                    # The next round dials whichever host leads then.
+                    # The next iteration dials the leader of that time.
                     pass
-            self._stopping.wait(_PAUSE_S)
+            self._stopping.wait(_REDIAL_DELAY_S)
 
-    def _hold(self, leader: ControlHost) -> None:
+    def _run_link(self, leader: ControlHost) -> None:
         connection = dial(
-            leader.address, self._own(), self._timing, self._pool
+            leader.address, self._make_hello(), self._timing, self._pool
         )
         try:
             with self._lock:
@@ -124,27 +125,27 @@
                 self._connection = connection
             self._on_open()
             for message in connection.messages():
-                self._take(message)
+                self._handle(message)
         finally:
             connection.close()
-            self._forget(leader)
+            self._fail_pending(leader)
 
-    def _take(self, message: object) -> None:
+    def _handle(self, message: object) -> None:
         match message:
             case RelayResult():
-                future = self._pop(message.request)
+                future = self._pop_future(message.request)
                 if future is not None:
                     future.set_result(message.result)
             case ControlUnavailable():
-                future = self._pop(message.request)
+                future = self._pop_future(message.request)
                 if future is not None:
                     future.set_exception(_error_from(message, self._leader))
 
-    def _pop(self, request: int) -> Future[Any] | None:
+    def _pop_future(self, request: int) -> Future[Any] | None:
         with self._lock:
             return self._future_by_request.pop(request, None)
 
-    def _forget(self, leader: ControlHost) -> None:
+    def _fail_pending(self, leader: ControlHost) -> None:
         with self._lock:
             self._connection = None
             self._leader = None
--- a/baobabgap/control/_relay_server.py
+++ b/baobabgap/control/_relay_server.py
@@ -1,11 +1,11 @@
-"""The leader's end of the links from hosts that follow."""
+"""The leader's end of the relay links of followers."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
 import threading
 from typing import Any
 
-from baobabgap.control._gateway import Gateway
+from baobabgap.control._command_router import CommandRouter
 from baobabgap.messages import ControlUnavailable
 from baobabgap.messages import RelayCommand
 from baobabgap.messages import RelayReports
@@ -15,14 +15,17 @@
 
 
 class RelayServer:
-    """Carries out what following hosts pass on; never passes it further."""
+    """Carries out commands of followers on this host only.
+
+    A relayed command is never forwarded again.
+    """
 
     def __init__(
         self,
-        gateway: Gateway,
+        command_router: CommandRouter,
         on_reports: Callable[[dict[str, int]], None],
     ) -> None:
-        self._gateway = gateway
+        self._command_router = command_router
         self._on_reports = on_reports
         self._lock = threading.Lock()
         self._connections: set[Connection] = set()
@@ -40,20 +43,20 @@
             connection.flush_and_close(0.5)
 
     def serve(self, connection: Connection) -> None:
-        """Run the session of one following host."""
+        """Handle the messages of one follower until its link ends."""
         with self._lock:
             self._connections.add(connection)
         try:
             for message in connection.messages():
-                self._take(message, connection)
+                self._handle(message, connection)
         finally:
             with self._lock:
                 self._connections.discard(connection)
 
-    def _take(self, message: object, connection: Connection) -> None:
+    def _handle(self, message: object, connection: Connection) -> None:
         match message:
             case RelayCommand():
-                future = self._gateway.submit_here(
+                future = self._command_router.submit_locally(
                     message.command, is_query=message.is_query
                 )
                 future.add_done_callback(
--- a/baobabgap/control/_request_desk.py
+++ b/baobabgap/control/_request_handler.py
@@ -1,4 +1,4 @@
-"""Carries out the requests of members and tools on one control host."""
+"""Handles the requests of members and tools on one control host."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -16,7 +16,7 @@
 from baobabgap.control._commands import LookupQuery
 from baobabgap.control._commands import PageQuery
 from baobabgap.control._commands import ReleaseCommand
-from baobabgap.control._ticket_desk import TicketDesk
+from baobabgap.control._ticket_submitter import TicketSubmitter
 from baobabgap.jobs import JobIdentifier
 from baobabgap.messages import ClaimJobs
 from baobabgap.messages import ClaimOutcomes
@@ -29,60 +29,66 @@
 from baobabgap.telemetry import log_event
 from baobabgap.telemetry import Metrics
 
-# Answered by the host that is asked, also without a leader.
-LOCAL_TOPIC: Final = 'status'
-_LARGEST_TOKEN: Final = 2**63 - 1
+# Answered by the host that receives the query, also without a leader.
+_LOCAL_TOPIC: Final = 'status'
+_MAX_TOKEN: Final = 2**63 - 1
 
 Send = Callable[[object], None]
 
 
-class RequestDesk:
-    """Answers each request once, if only that it can't be carried out."""
+class RequestHandler:
+    """Sends exactly one answer to each request but `ReleaseClaims`.
+
+    The answer to a request that fails is `ControlUnavailable`.
+    """
 
     def __init__(
         self,
         submit: Callable[[Command], Future[Any]],
-        tickets: TicketDesk,
+        ticket_submitter: TicketSubmitter,
         status_page: Callable[[], Any],
         metrics: Metrics,
         pool: Executor,
     ) -> None:
         self._submit = submit
-        self._tickets = tickets
+        self._ticket_submitter = ticket_submitter
         self._status_page = status_page
         self._metrics = metrics
         self._pool = pool
         self._condition = threading.Condition()
-        self._pending = 0
+        self._in_progress = 0
         self._is_closed = False
 
-    def answer(self, message: object, send: Send) -> bool:
-        """Begin a request; tell whether it was one.
+    def handle(self, message: object, send: Send) -> bool:
+        """Start a request; return False if the message is none.
 
-        The answer goes to `send` when it is there.
+        `send` is called with the answer once the request has ended.
         """
         match message:
             case ClaimJobs() if message.lookup_only:
-                self._begin(message.request, send, self._look_up, message)
+                self._start(message.request, send, self._look_up, message)
             case ClaimJobs():
-                self._begin(message.request, send, self._claim, message)
+                self._start(message.request, send, self._claim, message)
             case ReleaseClaims():
                 self._release(message)
             case PutTicket():
-                self._begin(message.request, send, self._put, message)
+                self._start(message.request, send, self._put, message)
             case QueryControl():
-                self._begin(message.request, send, self._query, message)
+                self._start(message.request, send, self._query, message)
             case _:
                 return False
         return True
 
     def close(self, timeout_s: float) -> None:
-        """Refuse new requests and wait for those in progress."""
+        """Refuse new requests and wait for those in progress.
+
+        Return after `timeout_s` seconds at the latest.
+        """
         with self._condition:
             self._is_closed = True
-            self._condition.wait_for(lambda: self._pending == 0, timeout_s)
+            self._condition.wait_for(lambda: self._in_progress == 0, timeout_s)
 
-    def _begin(
+    def _start(
         self,
         request: int,
         send: Send,
@@ -93,7 +99,7 @@
             if self._is_closed:
                 send(ControlUnavailable(request, 'host is stopping', True))
                 return
-            self._pending += 1
+            self._in_progress += 1
         try:
             future = carry_out(message)
         except Exception:
@@ -123,7 +129,7 @@
 
     def _end(self) -> None:
         with self._condition:
-            self._pending -= 1
+            self._in_progress -= 1
             self._condition.notify_all()
 
     def _claim(self, message: ClaimJobs) -> Future[Any]:
@@ -134,11 +140,12 @@
             message.request,
             _claim_rows(message),
         )
-        begin = time.monotonic()
+        started_at = time.monotonic()
         future = self._submit(command)
         future.add_done_callback(
             lambda _: self._metrics.observe_seconds(
-                'baobabgap_control_claim_seconds', time.monotonic() - begin
+                'baobabgap_control_claim_seconds',
+                time.monotonic() - started_at,
             )
         )
         return _map(future, lambda rows: self._outcomes(message, rows))
@@ -170,7 +177,7 @@
         return self._pool.submit(self._put_and_count, message)
 
     def _put_and_count(self, message: PutTicket) -> Any:
-        outcome = self._tickets.put(message)
+        outcome = self._ticket_submitter.put(message)
         self._metrics.count(
             f'baobabgap_control_tickets_total{{status="{outcome.status}"}}'
         )
@@ -183,7 +190,7 @@
         return outcome
 
     def _query(self, message: QueryControl) -> Future[Any]:
-        if message.topic == LOCAL_TOPIC:
+        if message.topic == _LOCAL_TOPIC:
             future: Future[Any] = Future()
             future.set_result(self._status_page())
         else:
@@ -204,7 +211,7 @@
 def _claim_rows(message: ClaimJobs) -> list[tuple[str, bytes, int]]:
     for claim in message.claims:
         _check_job(claim.job, message.owner)
-        if not 0 <= claim.token <= _LARGEST_TOKEN:
+        if not 0 <= claim.token <= _MAX_TOKEN:
             raise ProtocolMismatch(
                 f'token {claim.token} of {claim.job} is out of range',
                 step='claim',
--- a/baobabgap/control/_sessions.py
+++ b/baobabgap/control/_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of members and tools with one control host."""
+"""Sessions of members and tools with one control host."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -20,69 +20,72 @@
 
 ENTRY_ROLE: Final = 'entry'
 MEMBER_ROLES: Final = (ENTRY_ROLE, 'agent')
-_FLUSH_LIMIT_S: Final = 0.5
-_WOKEN_AT_ONCE: Final = 32
-_PAUSE_BETWEEN_WAKES_S: Final = 0.02
+_FLUSH_TIMEOUT_S: Final = 0.5
+_PUSH_BATCH_SESSIONS: Final = 32
+_PUSH_BATCH_PAUSE_S: Final = 0.02
 
-# Changes by the version after which they came and the roles wanted.
+# Results of `ControlState.changes_after` by its arguments.
 ChangesCache = dict[tuple[int, tuple[str, ...]], Changes | None]
 
 
 class Session:
-    """One link of a member or tool."""
+    """The session of one member or tool, over one link."""
 
     def __init__(self, connection: Connection, number: int) -> None:
         self.connection: Final = connection
-        # Counts the sessions of this host's incarnation.
+        # Unique within the incarnation of this host.
         self.number: Final = number
         # When its join was last proposed, on this host's monotonic clock.
         self.join_proposed_at: float | None = None
         self.has_left = False
         self._lock = threading.Lock()
         self._roles: tuple[str, ...] | None = None
-        # What the member has applied, and up to where nothing more was
-        # found for it.
+        # The version that the member has after the messages sent so far, and
+        # the version up to which nothing more was found for its roles.
         self._sent_version = 0
-        self._scanned_version = 0
+        self._searched_version = 0
 
     @property
     def is_member(self) -> bool:
-        """Tell whether the other end is a member, not a tool."""
+        """Whether the peer is a member rather than a tool."""
         return self.connection.peer.role in MEMBER_ROLES
 
     def note_join(self, proposed: Future[Any]) -> None:
-        """Have the join proposed again soon if it has failed."""
+        """Allow the join to be proposed again at once if it has failed."""
         if proposed.exception() is not None:
             self.join_proposed_at = None
 
     def subscribe(self, message: Subscribe, state: ControlState) -> None:
-        """Push what the member has missed, now and from now on."""
+        """Push the missed changes, and new ones from now on."""
         with self._lock:
             self._roles = message.member_roles
             self._sent_version = message.version
-            self._scanned_version = message.version
+            self._searched_version = message.version
         self.push(state, {})
 
     def push(self, state: ControlState, cache: ChangesCache) -> bool:
-        """Send what concerns the member and is new; tell whether any is."""
+        """Send new changes of the subscribed roles.
+
+        Return False if there was nothing to send.
+        """
         with self._lock:
             if self._roles is None:
                 return False
-            key = (self._scanned_version, self._roles)
+            key = (self._searched_version, self._roles)
             if key not in cache:
                 cache[key] = state.changes_after(*key)
             changes = cache[key]
             if changes is None:
                 return False
-            self._scanned_version = changes.to_version
-            is_whole = changes.from_version == 0
-            if not (changes.members or changes.configuration or is_whole):
+            self._searched_version = changes.to_version
+            is_full = changes.from_version == 0
+            if not (changes.members or changes.configuration or is_full):
                 return False
-            self._send(changes, is_whole)
+            self._send(changes, is_full)
             return True
 
-    def _send(self, changes: Changes, is_whole: bool) -> None:
-        from_version = 0 if is_whole else self._sent_version
+    def _send(self, changes: Changes, is_full: bool) -> None:
+        from_version = 0 if is_full else self._sent_version
         self.connection.send(
             Changes(
                 from_version,
@@ -102,33 +105,33 @@
         self._lock = threading.Lock()
         self._next_number = 1
         self._session_by_number: dict[int, Session] = {}
-        # Versions in force, as the members have reported them.
+        # Versions in force at members, as they have reported them.
         self._version_by_member: dict[str, int] = {}
-        self._unreported: set[str] = set()
-        self._hint: LeaderHint | None = None
-        # Counts sessions that were opened or closed.
+        self._unforwarded: set[str] = set()
+        self._leader_hint: LeaderHint | None = None
+        # Counts openings and closings of sessions.
         self.revision = 0
 
     def open(self, connection: Connection) -> Session:
-        """Begin a session."""
+        """Open a session."""
         with self._lock:
             session = Session(connection, self._next_number)
             self._next_number += 1
             self.revision += 1
             self._session_by_number[session.number] = session
-            hint = self._hint
+            hint = self._leader_hint
         if hint is not None and connection.peer.role == ENTRY_ROLE:
             connection.send(hint)
         return session
 
     def close(self, session: Session) -> None:
-        """End a session."""
+        """Close a session."""
         with self._lock:
             self.revision += 1
             self._session_by_number.pop(session.number, None)
 
     def is_open(self, number: int) -> bool:
-        """Tell whether a session is open."""
+        """Return whether the session with this number is open."""
         return number in self._session_by_number
 
     def all(self) -> list[Session]:
@@ -136,12 +139,12 @@
         with self._lock:
             return list(self._session_by_number.values())
 
-    def take(self, session: Session, message: object) -> None:
-        """Take a message that is no request."""
+    def handle(self, session: Session, message: object) -> None:
+        """Handle a message that is no request."""
         match message:
             case Subscribe():
-                # A member that comes from another host has something in
-                # force already, and reports it only when it changes.
+                # A member that was connected to another host already has a
+                # version in force, and reports only changes of it.
                 if message.version > 0:
                     self._note_report(session, message.version)
                 session.subscribe(message, self._state)
@@ -151,52 +154,54 @@
                 session.has_left = True
 
     def push_changes(self) -> None:
-        """Send each subscriber what is new to it, entries first.
+        """Push new changes to all subscribers, entries first.
 
-        A pause after each few keeps the number of tasks that are woken at
-        once small: thousands of them would starve each other.
+        A pause after each batch limits the tasks that become runnable at
+        the same time: thousands of them would starve each other.
         """
         cache: ChangesCache = {}
         sessions = self.all()
-        sessions.sort(key=lambda each: each.connection.peer.role != ENTRY_ROLE)
-        woken = 0
+        sessions.sort(
+            key=lambda session: session.connection.peer.role != ENTRY_ROLE
+        )
+        pushed = 0
         for session in sessions:
             if session.push(self._state, cache):
-                woken += 1
-                if woken % _WOKEN_AT_ONCE == 0:
-                    time.sleep(_PAUSE_BETWEEN_WAKES_S)
+                pushed += 1
+                if pushed % _PUSH_BATCH_SESSIONS == 0:
+                    time.sleep(_PUSH_BATCH_PAUSE_S)
 
-    def show_leader(self, hint: LeaderHint) -> None:
-        """Tell entries where the leader is, if it has changed."""
+    def announce_leader(self, hint: LeaderHint) -> None:
+        """Send the leader to all entries if it has changed."""
         with self._lock:
-            if hint == self._hint:
+            if hint == self._leader_hint:
                 return
-            self._hint = hint
+            self._leader_hint = hint
         for session in self.all():
             if session.connection.peer.role == ENTRY_ROLE:
                 session.connection.send(hint)
 
     def supersede(self, session: Session, incarnation: str) -> None:
-        """Tell a process that another one has taken its name."""
+        """Tell a process that another one has joined under its name."""
         session.has_left = True
         session.connection.send(Superseded(incarnation))
 
     def close_all(self, pool: Executor) -> None:
         """Send what is queued on each link, then close it.
 
-        Links are closed at the same time: some may be silent.
+        Links are closed concurrently, since some may be unresponsive.
         """
         closing = [
-            pool.submit(session.connection.flush_and_close, _FLUSH_LIMIT_S)
+            pool.submit(session.connection.flush_and_close, _FLUSH_TIMEOUT_S)
             for session in self.all()
         ]
-        wait(closing, 2 * _FLUSH_LIMIT_S)
+        wait(closing, 2 * _FLUSH_TIMEOUT_S)
 
     def note_reports(self, version_by_member: dict[str, int]) -> None:
-        """Take reports that another host passes on.
+        """Merge reports that another host forwards.
 
-        A host that comes back passes on what it knew before; what is in
-        force at a member never goes back.
+        A host that returns forwards outdated reports; the version in force
+        at a member never decreases.
         """
         with self._lock:
             for name, version in version_by_member.items():
@@ -204,33 +209,36 @@
                 self._version_by_member[name] = max(known, version)
 
     def version_in_force(self, name: str) -> int | None:
-        """Return the version that a member has reported last."""
+        """Return the version that a member has reported last, or None."""
         with self._lock:
             return self._version_by_member.get(name)
 
-    def pass_reports_on(self, send: Callable[[dict[str, int]], bool]) -> None:
-        """Hand what is new since the last time to `send`."""
+    def forward_reports(self, send: Callable[[dict[str, int]], bool]) -> None:
+        """Pass the reports that were not forwarded yet to `send`.
+
+        They stay marked as not forwarded if `send` returns False.
+        """
         with self._lock:
             new = {
                 name: self._version_by_member[name]
-                for name in self._unreported
+                for name in self._unforwarded
             }
         if new and send(new):
             with self._lock:
-                self._unreported -= {
+                self._unforwarded -= {
                     name
                     for name, version in new.items()
                     if self._version_by_member[name] == version
                 }
 
-    def report_all_again(self) -> None:
-        """Count all reports of open sessions as new: another host leads."""
+    def mark_all_unforwarded(self) -> None:
+        """Mark reports of open sessions to be forwarded to a new leader."""
         names = {session.connection.peer.name for session in self.all()}
         with self._lock:
-            self._unreported |= names & set(self._version_by_member)
+            self._unforwarded |= names & set(self._version_by_member)
 
     def _note_report(self, session: Session, version: int) -> None:
         name = session.connection.peer.name
         with self._lock:
             self._version_by_member[name] = version
-            self._unreported.add(name)
+            self._unforwarded.add(name)
--- a/baobabgap/control/_state.py
+++ b/baobabgap/control/_state.py
@@ -10,11 +10,11 @@
 from baobabgap.control._claims import ClaimLimits
 from baobabgap.control._claims import Claims
 from baobabgap.control._commands import ClaimCommand
-from baobabgap.control._commands import DeathCommand
 from baobabgap.control._commands import decode_command
 from baobabgap.control._commands import JoinCommand
 from baobabgap.control._commands import LeaveCommand
 from baobabgap.control._commands import LookupQuery
+from baobabgap.control._commands import MemberFailureCommand
 from baobabgap.control._commands import ReleaseCommand
 from baobabgap.control._commands import TicketCommand
 from baobabgap.control._commands import unstamp
@@ -28,11 +28,12 @@
 
 
 class ControlState:
-    """Claims, tickets and members, changed by the log's commands.
+    """Claims, tickets and members, changed by commands of the log.
 
-    The state is the same on every control host after the same command:
-    nothing here reads a clock or draws a random number. `version` is the
-    index of the last command that changed a member or the configuration.
+    Applying a command is deterministic, so that all control hosts reach
+    the same state: no clock is read and no random number is drawn.
+    `version` is the index of the last command that changed a member or the
+    configuration.
     """
 
     def __init__(self, settings: ControlSettings) -> None:
@@ -48,14 +49,15 @@
         self.tickets: Final = Tickets(settings.kept_tickets)
         self.members: Final = Members(settings.kept_gone_members)
         self.version = 0
-        # Called without the lock after each new version.
+        # Called after each new version, without holding the lock.
         self.on_version: Callable[[], None] = _do_nothing
-        # Milliseconds for which some leader has been seen at work.
+        # Milliseconds, summed over intervals between successive commands of
+        # one leader.
         self._log_time_ms = 0
         self._stamp = ('', 0)
 
     def apply(self, index: int, command: bytes) -> Any:
-        """Apply a stamped command of the log; return its result."""
+        """Apply a stamped command from the log and return its result."""
         leader_incarnation, now_ms, data = unstamp(command)
         with self.lock:
             before = self.version
@@ -67,7 +69,7 @@
         return result
 
     def _advance_time(self, leader_incarnation: str, now_ms: int) -> None:
-        """Add what passed since this leader's last stamp.
+        """Add the time since this leader's last stamp.
 
         The clocks of two leaders are not compared: the time between the
         last stamp of one and the first of the next is left out.
@@ -93,7 +95,7 @@
                 return self._change_member(command.name, index, command)
             case LeaveCommand() as command:
                 return self._change_member(command.name, index, command)
-            case DeathCommand() as command:
+            case MemberFailureCommand() as command:
                 return self._change_member(command.name, index, command)
         return None
 
@@ -101,7 +103,7 @@
         self,
         name: str,
         index: int,
-        command: JoinCommand | LeaveCommand | DeathCommand,
+        command: JoinCommand | LeaveCommand | MemberFailureCommand,
     ) -> Any:
         result = None
         match command:
@@ -109,30 +111,30 @@
                 result = self.members.join(command, index)
             case LeaveCommand():
                 self.members.leave(command, index)
-            case DeathCommand():
-                self.members.die(command, index)
+            case MemberFailureCommand():
+                self.members.mark_failed(command, index)
         member = self.members.get(name)
         if member is None or member.version == index:
             self.version = index
         return result
 
     def look_up(self, query: LookupQuery) -> Any:
-        """Answer a lookup; the caller has passed a read barrier."""
+        """Answer a lookup; the caller must have passed a read barrier."""
         with self.lock:
             return self.claims.look_up(query)
 
     def member(self, name: str) -> Member | None:
-        """Return what is known of a member."""
+        """Return the member with this name, or None."""
         with self.lock:
             return self.members.get(name)
 
     def changes_after(
         self, version: int, roles: tuple[str, ...]
     ) -> Changes | None:
-        """Return what a reader at `version` has missed, or None.
+        """Return the changes since `version`, or None if there are none.
 
-        A reader from before the oldest change that is still known gets
-        the whole state, with `from_version` 0.
+        If some of these changes have been forgotten, the whole state is
+        returned, with `from_version` 0.
         """
         with self.lock:
             if version >= self.version:
@@ -147,7 +149,7 @@
             )
 
     def snapshot(self) -> bytes:
-        """Return everything as bytes."""
+        """Return the encoded state."""
         with self.lock:
             document = [
                 _SNAPSHOT_FORMAT,
@@ -161,7 +163,7 @@
         return cbor2.dumps(document)
 
     def restore(self, index: int, snapshot: bytes) -> None:
-        """Replace everything by a snapshot taken after `index`."""
+        """Replace the state by a snapshot taken after `index`."""
         document = cbor2.loads(snapshot)
         with self.lock:
             _, self.version, self._log_time_ms, last_stamp = document[:4]
@@ -173,4 +175,4 @@
 
 
 def _do_nothing() -> None:
-    """Stand for a listener that isn't there yet."""
+    """Serve as `on_version` until a callback is set."""
--- a/baobabgap/control/_tickets.py
+++ b/baobabgap/control/_tickets.py
@@ -1,4 +1,4 @@
-"""The change tickets and the configuration that they have set."""
+"""Change tickets and the configuration that results from them."""
 
 from dataclasses import dataclass
 from itertools import islice
@@ -13,13 +13,13 @@
 from baobabgap.messages import TicketOutcome
 from baobabgap.messages import TicketStatus
 
-# The result of a ticket that was validated against an older state; the
-# host validates it again and proposes it anew.
-MOVED_ON: Final = 'moved_on'
-# All kept tickets together, in bytes of JSON.
-_KEPT_BYTES: Final = 16 * 1024 * 1024
-# Tickets on the operators' page.
-_SHOWN_TICKETS: Final = 500
+# The result for a ticket that was validated against an outdated state: the
+# submitting host validates it again and proposes it once more.
+BASE_CHANGED: Final = 'moved_on'
+# For all kept tickets together, in bytes of JSON.
+_MAX_KEPT_BYTES: Final = 16 * 1024 * 1024
+# Tickets on the page for operators.
+_MAX_SHOWN_TICKETS: Final = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,15 +28,15 @@
 
     # The state by key as canonical JSON.
     content: str
-    # The version at which it came into force.
+    # The version from which it is in force.
     version: int
 
 
 class Tickets:
-    """All accepted tickets, in the order of their numbers."""
+    """The accepted tickets and the configuration that they have set."""
 
-    def __init__(self, kept_tickets: int) -> None:
-        self._kept_tickets = kept_tickets
+    def __init__(self, max_kept_tickets: int) -> None:
+        self._max_kept_tickets = max_kept_tickets
         self._ticket_by_number: dict[int, _KeptTicket] = {}
         self._kept_bytes = 0
         self._newest_number = 0
@@ -49,10 +49,11 @@
         return self._newest_number
 
     def put(self, command: TicketCommand, index: int) -> list[Any]:
-        """Accept the ticket or tell why not, as `[status, number, ...]`.
+        """Accept or refuse the ticket; return a list.
 
-        The elements are the status, the newest number as of the answer,
-        the version, a message, and the winner's content or None.
+        Its elements are the status, the newest number after the command,
+        the version, a message, and the content of the accepted ticket with
+        the same number or None.
         """
         kept = self._ticket_by_number.get(command.number)
         if kept is not None and kept.content == command.content:
@@ -75,19 +76,19 @@
                 None,
             ]
         if command.base_number != self._newest_number:
-            return [MOVED_ON, self._newest_number, 0, '', None]
+            return [BASE_CHANGED, self._newest_number, 0, '', None]
         self._accept(command, index)
         return _accepted(command.number, index)
 
     def merged_state(self, state_by_key: dict[str, Any]) -> dict[str, Any]:
-        """Return the state of all keys as a ticket would leave it."""
+        """Return the state of all keys with those of a ticket replaced."""
         merged = {
             key: entry.value for key, (_, entry) in self._entry_by_key.items()
         }
         return merged | state_by_key
 
     def entries_after(self, version: int) -> tuple[ConfigurationEntry, ...]:
-        """Return the keys that were set after a version."""
+        """Return the entries of keys that were set after a version."""
         return tuple(
             entry
             for changed, entry in self._entry_by_key.values()
@@ -95,7 +96,7 @@
         )
 
     def history(self) -> list[dict[str, Any]]:
-        """Return the newest tickets for the operators, newest first."""
+        """Return the kept tickets for operators, newest first."""
         return [
             {
                 'number': number,
@@ -103,7 +104,7 @@
                 'state_by_key': json.loads(kept.content),
             }
             for number, kept in islice(
-                reversed(self._ticket_by_number.items()), _SHOWN_TICKETS
+                reversed(self._ticket_by_number.items()), _MAX_SHOWN_TICKETS
             )
         ]
 
@@ -118,15 +119,15 @@
         self._ticket_by_number[number] = ticket
         self._kept_bytes += len(ticket.content)
         while len(self._ticket_by_number) > 1 and (
-            len(self._ticket_by_number) > self._kept_tickets
-            or self._kept_bytes > _KEPT_BYTES
+            len(self._ticket_by_number) > self._max_kept_tickets
+            or self._kept_bytes > _MAX_KEPT_BYTES
         ):
             oldest = next(iter(self._ticket_by_number))
-            gone = self._ticket_by_number.pop(oldest)
-            self._kept_bytes -= len(gone.content)
+            dropped = self._ticket_by_number.pop(oldest)
+            self._kept_bytes -= len(dropped.content)
 
     def to_document(self) -> list[Any]:
-        """Return everything as plain values for a snapshot."""
+        """Return all tickets as plain values for a snapshot."""
         return [
             self._newest_number,
             [
@@ -140,7 +141,7 @@
         ]
 
     def restore(self, document: list[Any]) -> None:
-        """Replace everything by what `to_document` has returned."""
+        """Replace all tickets by a result of `to_document`."""
         self._newest_number, tickets, entries = document
         self._ticket_by_number = {}
         self._kept_bytes = 0
@@ -153,19 +154,19 @@
 
 
 def canonical_content(state_by_key: dict[str, Any]) -> str:
-    """Return the same text for the same content, whatever its order."""
+    """Return JSON that doesn't depend on the order of the keys."""
     return json.dumps(
         state_by_key, sort_keys=True, separators=(',', ':'), allow_nan=False
     )
 
 
-def find_fault(
+def find_validation_error(
     number: int, state_by_key: dict[str, Any], merged: dict[str, Any]
 ) -> str:
-    """Return the key and the reason if a ticket is bad, or empty text.
+    """Return the key and the error of an invalid ticket, or empty text.
 
-    `merged` is the state of all keys as the ticket would leave it: what
-    each key says must be right, and all of them together.
+    `merged` is the state of all keys with those of the ticket replaced.
+    Both the ticket's own keys and the merged state must be valid.
     """
     if number < 1:
         return f'number: must be 1 or more (got {number})'
@@ -180,7 +181,7 @@
 
 
 def outcome_from_result(request: int, result: list[Any]) -> TicketOutcome:
-    """Turn the log's compact result into a message."""
+    """Convert a result of `Tickets.put` to a message."""
     status, newest_number, version, message, winner = result
     return TicketOutcome(
         request,
--- a/baobabgap/control/tests/_cut_relay.py
+++ b/baobabgap/control/tests/_cut_relay.py
@@ -1,14 +1,15 @@
-"""A TCP relay that can go silent without closing anything."""
+"""A TCP relay that can stop forwarding without closing connections."""
 
 import socket
 import threading
 
 
 class CutRelay:
-    """Passes connections on to one port of this machine.
+    """Forwards connections to one port of this machine.
 
-    Connections that are open when `silence` is called pass no more bytes
-    in the directions named, and stay open; new ones work.
+    Connections that are open when `silence` is called stay open, but
+    discard all further bytes in the given directions. Later connections
+    are not affected.
     """
 
     def __init__(self, port: int) -> None:
@@ -16,29 +17,31 @@
         self._server = socket.create_server(('127.0.0.1', 0))
         self._lock = threading.Lock()
         self._sockets: list[socket.socket] = []
-        self._gates: list[tuple[threading.Event, threading.Event]] = []
+        self._silence_events: list[
+            tuple[threading.Event, threading.Event]
+        ] = []
         threading.Thread(target=self._accept, daemon=True).start()
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port that the relay listens on."""
         return int(self._server.getsockname()[1])
 
     def silence(self, *, to_host: bool = True, to_member: bool = True) -> None:
-        """Hold back what the open connections carry from now on."""
+        """Discard further bytes of the open connections."""
         with self._lock:
-            for host_gate, member_gate in self._gates:
+            for host_event, member_event in self._silence_events:
                 if to_host:
-                    host_gate.set()
+                    host_event.set()
                 if to_member:
-                    member_gate.set()
+                    member_event.set()
 
     def close(self) -> None:
-        """Close everything."""
+        """Close the listener and all connections."""
         self._server.close()
         with self._lock:
-            for each in self._sockets:
-                each.close()
+            for open_socket in self._sockets:
+                open_socket.close()
 
     def _accept(self) -> None:
         while True:
@@ -49,30 +52,32 @@
             try:
                 host = socket.create_connection(('127.0.0.1', self._target))
             except OSError:
-                # The host is down for now; the relay lives on.
+                # The host may be down for a while; accept further connections.
                 member.close()
                 continue
-            gates = (threading.Event(), threading.Event())
+            silence_events = (threading.Event(), threading.Event())
             with self._lock:
                 self._sockets += [member, host]
-                self._gates.append(gates)
-            for source, destination, gate in (
-                (member, host, gates[0]),
-                (host, member, gates[1]),
+                self._silence_events.append(silence_events)
+            for source, destination, silence_event in (
+                (member, host, silence_events[0]),
+                (host, member, silence_events[1]),
             ):
                 threading.Thread(
-                    target=_pass_on,
-                    args=(source, destination, gate),
+                    target=_forward,
+                    args=(source, destination, silence_event),
                     daemon=True,
                 ).start()
 
 
-def _pass_on(
-    source: socket.socket, destination: socket.socket, gate: threading.Event
+def _forward(
+    source: socket.socket,
+    destination: socket.socket,
+    silence_event: threading.Event,
 ) -> None:
     try:
         while data := source.recv(65536):
-            if not gate.is_set():
+            if not silence_event.is_set():
                 destination.sendall(data)
         destination.shutdown(socket.SHUT_WR)
     except OSError:
--- a/baobabgap/control/tests/_group.py
+++ b/baobabgap/control/tests/_group.py
@@ -1,4 +1,4 @@
-"""Control hosts and clients for tests, all in the test's own process."""
+"""Control hosts and clients that run in the process of a test."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -19,11 +19,11 @@
 from baobabgap.settings import Role
 from baobabgap.settings import Settings
 
-LONGEST_WAIT_S = 15.0
+WAIT_LIMIT_S = 15.0
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on at the moment."""
+    """Return a TCP port that is free at the moment."""
     with socket.socket() as probe:
         probe.bind(('127.0.0.1', 0))
         return int(probe.getsockname()[1])
@@ -35,7 +35,7 @@
 
 
 class Member:
-    """A client and what it has learned."""
+    """A client with the changes that it has received."""
 
     def __init__(
         self,
@@ -70,10 +70,10 @@
 
 
 class GroupTest(unittest.TestCase):
-    """Starts hosts and members, and stops what is left at the end."""
+    """Starts hosts and members, and stops those left at the end."""
 
-    # Hosts of the group.
-    hosts = 1
+    # The number of control hosts.
+    host_count = 1
     control = ControlSettings(
         election_timeout_s=0.4,
         request_wait_s=3.0,
@@ -94,7 +94,7 @@
             name='any',
             control_hosts=tuple(
                 ControlHost(f'control-{number}', '127.0.0.1', free_port())
-                for number in range(1, self.hosts + 1)
+                for number in range(1, self.host_count + 1)
             ),
             links=Links(heartbeat_s=0.1, silence_s=0.6),
             control=self.control,
@@ -104,7 +104,7 @@
             self.start_host(host.name)
 
     def start_host(self, name: str) -> ControlHostProcess:
-        """Start a host on its own data folder."""
+        """Start a host with a data folder of its own."""
         control = replace(
             self.settings.control, data_folder=f'{self.folder}/{name}'
         )
@@ -117,7 +117,7 @@
         return host
 
     def stop_host(self, name: str) -> None:
-        """Stop a host as planned, if it runs."""
+        """Stop a host as planned if it is running."""
         host = self.host_by_name.pop(name, None)
         if host is not None:
             host.stop()
@@ -141,7 +141,7 @@
         return member
 
     def settings_for(self, *names: str) -> Settings:
-        """Return settings that list only some hosts."""
+        """Return settings that list only the hosts with these names."""
         return replace(
             self.settings,
             control_hosts=tuple(
@@ -152,13 +152,13 @@
         )
 
     def pause(self, seconds: float) -> None:
-        """Let time pass in which something must not happen."""
+        """Wait while something must not happen."""
         time.sleep(seconds)
 
     def wait_until(self, condition: Callable[[], bool], what: str) -> None:
-        """Wait for a condition, and fail the test if it stays false."""
-        deadline = time.monotonic() + LONGEST_WAIT_S
+        """Wait for a condition; fail the test after `WAIT_LIMIT_S`."""
+        deadline = time.monotonic() + WAIT_LIMIT_S
         while not condition():
             if time.monotonic() > deadline:
-                self.fail(f'waited in vain until {what}')
+                self.fail(f'timed out waiting until {what}')
             time.sleep(0.01)
--- a/baobabgap/control/tests/test_client.py
+++ b/baobabgap/control/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The members' client against a host that follows a script."""
+"""Tests of the control client against a scripted control host."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -12,10 +12,10 @@
 
 from baobabgap.control import ControlClient
 from baobabgap.control import ControlUnavailableError
-from baobabgap.control._pending import ClaimSender
-from baobabgap.control._pending import PendingRequests
+from baobabgap.control._pending_requests import ClaimSender
+from baobabgap.control._pending_requests import PendingRequests
 from baobabgap.control.tests._group import claim
-from baobabgap.control.tests._group import LONGEST_WAIT_S
+from baobabgap.control.tests._group import WAIT_LIMIT_S
 from baobabgap.messages import Changes
 from baobabgap.messages import ClaimJobs
 from baobabgap.messages import ClaimOutcome
@@ -38,7 +38,7 @@
 
 
 class ScriptedHost:
-    """Accepts links, keeps what it is sent, and answers claims."""
+    """Accepts links, records subscriptions, and answers claims."""
 
     def __init__(
         self,
@@ -101,8 +101,8 @@
         )
         self.client.start()
         self.addCleanup(self.client.stop)
-        self.link = self.host.links.get(timeout=LONGEST_WAIT_S)
-        self.host.subscriptions.get(timeout=LONGEST_WAIT_S)
+        self.link = self.host.links.get(timeout=WAIT_LIMIT_S)
+        self.host.subscriptions.get(timeout=WAIT_LIMIT_S)
 
     def _apply(self, changes: Changes) -> None:
         self.versions.append(changes.to_version)
@@ -116,85 +116,87 @@
         self.start()
         self.push((0, 5), (5, 9), (0, 7), (5, 9), (3, 8), (9, 12))
         for _ in range(3):
-            self.assertTrue(self.applied.acquire(timeout=LONGEST_WAIT_S))
+            self.assertTrue(self.applied.acquire(timeout=WAIT_LIMIT_S))
         self.assertEqual(self.versions, [5, 9, 12])
 
-    def test_what_is_missing_is_asked_for(self) -> None:
+    def test_gap_in_the_changes_leads_to_a_new_subscription(self) -> None:
         self.start()
         self.push((0, 5), (7, 9))
-        asked = self.host.subscriptions.get(timeout=LONGEST_WAIT_S)
+        asked = self.host.subscriptions.get(timeout=WAIT_LIMIT_S)
         self.assertEqual(asked.version, 5)
         self.assertEqual(self.versions, [5])
 
-    def test_new_link_asks_only_for_what_was_missed(self) -> None:
+    def test_new_link_subscribes_from_the_applied_version(self) -> None:
         self.start()
         self.push((0, 5))
-        self.assertTrue(self.applied.acquire(timeout=LONGEST_WAIT_S))
+        self.assertTrue(self.applied.acquire(timeout=WAIT_LIMIT_S))
         self.link.close()
-        asked = self.host.subscriptions.get(timeout=LONGEST_WAIT_S)
+        asked = self.host.subscriptions.get(timeout=WAIT_LIMIT_S)
         self.assertEqual(asked.version, 5)
 
-    def test_leader_that_was_distrusted_is_moved_to_later(self) -> None:
+    def test_link_moves_to_the_leader_after_the_cooldown(self) -> None:
         self.start()
         leader = ScriptedHost(self.pool, lambda _: [], 'control-2')
         self.addCleanup(leader.listener.stop)
         address = f'127.0.0.1:{leader.listener.port}'
-        with patch('baobabgap.control._host_choice._DISTRUST_S', 0.3):
-            self.client._choice.note_lost(address, time.monotonic())
+        with patch(
+            'baobabgap.control._host_selector._LOST_HOST_COOLDOWN_S', 0.3
+        ):
+            self.client._host_selector.note_lost(address, time.monotonic())
             self.link.send(LeaderHint('control-2', address))
-            # The host says so only once.
-            leader.links.get(timeout=LONGEST_WAIT_S)
+            # The hint is sent only once.
+            leader.links.get(timeout=WAIT_LIMIT_S)
 
     def test_lookup_never_changes_anything(self) -> None:
         self.start()
         error: Any = self.client.lookup(claim('kurek.5.n')).exception(
-            LONGEST_WAIT_S
+            WAIT_LIMIT_S
         )
         self.assertIs(error.unchanged, True)
 
-    def test_claims_that_wait_travel_together(self) -> None:
+    def test_waiting_claims_are_sent_in_one_batch(self) -> None:
         received: queue.Queue[ClaimJobs] = queue.Queue()
 
-        def note(message: ClaimJobs) -> list[object]:
+        def record(message: ClaimJobs) -> list[object]:
             received.put(message)
             return []
 
-        self.start(note, claim_wait_s=LONGEST_WAIT_S)
+        self.start(record, claim_wait_s=WAIT_LIMIT_S)
         futures = [
             self.client.claim(claim(f'kurek.{number}.n'))
             for number in range(100)
         ]
-        first = [received.get(timeout=LONGEST_WAIT_S) for _ in range(4)]
+        first = [received.get(timeout=WAIT_LIMIT_S) for _ in range(4)]
         self.assertEqual([len(each.claims) for each in first], [1, 1, 1, 1])
         outcome = ClaimOutcome(first[0].claims[0].job, ClaimStatus.GRANTED)
         self.link.send(ClaimOutcomes(first[0].request, (outcome,)))
-        self.assertEqual(futures[0].result(LONGEST_WAIT_S), outcome)
-        rest = received.get(timeout=LONGEST_WAIT_S)
+        self.assertEqual(futures[0].result(WAIT_LIMIT_S), outcome)
+        rest = received.get(timeout=WAIT_LIMIT_S)
         self.assertEqual(len(rest.claims), 96)
 
-    def test_requests_that_were_given_up_make_room(self) -> None:
+    def test_expired_requests_no_longer_count_as_in_flight(self) -> None:
         received: queue.Queue[ClaimJobs] = queue.Queue()
 
-        def note(message: ClaimJobs) -> list[object]:
+        def record(message: ClaimJobs) -> list[object]:
             received.put(message)
             return []
 
-        self.start(note)
+        self.start(record)
         for number in range(4):
             self.client.claim(claim(f'kurek.{number}.n'))
-            received.get(timeout=LONGEST_WAIT_S)
-        # It waits behind the four, and may still be sent when they expire.
+            received.get(timeout=WAIT_LIMIT_S)
+        # It waits for the four, and may still be sent when they expire.
         last = self.client.claim(claim('kurek.99.n'))
-        self.assertIsNotNone(last.exception(LONGEST_WAIT_S))
+        self.assertIsNotNone(last.exception(WAIT_LIMIT_S))
         self.client.claim(claim('kurek.1000.n'))
         jobs: list[str] = []
         while 'kurek.1000.n' not in jobs:
-            message = received.get(timeout=LONGEST_WAIT_S)
+            message = received.get(timeout=WAIT_LIMIT_S)
             jobs.extend(each.job for each in message.claims)
 
 
 class PendingRequestsTest(unittest.TestCase):
-    def test_unchanged_is_truthful(self) -> None:
+    def test_unchanged_is_true_only_if_nothing_can_have_changed(self) -> None:
         cases: list[tuple[str, list[bool | None], bool]] = [
             ('never sent', [], True),
             ('refused', [True], True),
@@ -214,7 +216,7 @@
                 error = self.expire(pending, future)
                 self.assertIs(error.unchanged, expected)
 
-    def test_request_on_the_way_is_unknown(self) -> None:
+    def test_outcome_of_a_request_in_flight_is_unknown(self) -> None:
         pending = PendingRequests(ClaimSender('e', 'e-a', ''))
         future = pending.add_claim(claim('kurek.5.n'), 0.1, lookup_only=False)
         self.assertEqual(len(pending.take_messages()), 1)
@@ -223,7 +225,7 @@
     def attempt(
         self, pending: PendingRequests, unchanged: bool | None
     ) -> None:
-        """Send, and have it refused or, for None, lose the link."""
+        """Send the request and refuse it or, for None, lose the link."""
         messages = pending.take_messages()
         while not messages:
             time.sleep(0.01)
@@ -233,12 +235,12 @@
             return
         (message,) = messages
         assert isinstance(message, ClaimJobs)
-        pending.take_answer(
+        pending.handle_answer(
             ControlUnavailable(message.request, 'no', unchanged)
         )
 
     def expire(self, pending: PendingRequests, future: Future[Any]) -> Any:
-        deadline = time.monotonic() + LONGEST_WAIT_S
+        deadline = time.monotonic() + WAIT_LIMIT_S
         while not future.done():
             self.assertLess(time.monotonic(), deadline)
             time.sleep(0.02)
--- a/baobabgap/control/tests/test_group.py
+++ b/baobabgap/control/tests/test_group.py
@@ -1,10 +1,10 @@
-"""Three control hosts in one process, with members."""
+"""Tests of a group of three control hosts with members."""
 
 from baobabgap.control._client_errors import ControlUnavailableError
 from baobabgap.control._host import ControlHostProcess
 from baobabgap.control.tests._group import claim
 from baobabgap.control.tests._group import GroupTest
-from baobabgap.control.tests._group import LONGEST_WAIT_S
+from baobabgap.control.tests._group import WAIT_LIMIT_S
 from baobabgap.messages import ClaimStatus
 from baobabgap.messages import TicketStatus
 
@@ -12,7 +12,7 @@
 
 
 class ThreeHostsTest(GroupTest):
-    hosts = 3
+    host_count = 3
 
     def leader(self) -> str:
         """Return the name of the host that leads, once all agree."""
@@ -45,7 +45,7 @@
             for job in jobs
         ]
         for pair in futures:
-            statuses = [each.result(LONGEST_WAIT_S).status for each in pair]
+            statuses = [each.result(WAIT_LIMIT_S).status for each in pair]
             self.assertEqual(
                 sorted(statuses), [ClaimStatus.GRANTED, ClaimStatus.OWNED]
             )
@@ -63,23 +63,23 @@
                 first.client.put_ticket(number, states[0]),
                 second.client.put_ticket(number, states[1]),
             ]
-            outcomes = [each.result(LONGEST_WAIT_S) for each in futures]
+            outcomes = [each.result(WAIT_LIMIT_S) for each in futures]
             statuses = [outcome.status for outcome in outcomes]
             self.assertEqual(
                 sorted(statuses), [TicketStatus.ACCEPTED, TicketStatus.LOST]
             )
-            won = statuses.index(TicketStatus.ACCEPTED)
-            self.assertEqual(outcomes[1 - won].winner, states[won])
+            accepted = statuses.index(TicketStatus.ACCEPTED)
+            self.assertEqual(outcomes[1 - accepted].winner, states[accepted])
 
     def test_ticket_resent_after_a_change_of_leader(self) -> None:
         tool = self.member('tool', 'tool-1')
         state = {QUOTA: {'tasks_per_second': 5}}
-        first = tool.client.put_ticket(3, state).result(LONGEST_WAIT_S)
+        first = tool.client.put_ticket(3, state).result(WAIT_LIMIT_S)
         self.assertIs(first.status, TicketStatus.ACCEPTED)
-        tool.client.put_ticket(4, state).result(LONGEST_WAIT_S)
+        tool.client.put_ticket(4, state).result(WAIT_LIMIT_S)
         self.stop_host(self.leader())
         self.leader()
-        again = tool.client.put_ticket(3, state).result(LONGEST_WAIT_S)
+        again = tool.client.put_ticket(3, state).result(WAIT_LIMIT_S)
         self.assertEqual(again.version, first.version)
         self.assertEqual(again.message, first.message)
 
@@ -93,7 +93,7 @@
             futures.append(entry.client.claim(claim(f'kurek.{number}.n')))
             self.pause(0.002)
         for future in futures:
-            outcome = future.result(LONGEST_WAIT_S)
+            outcome = future.result(WAIT_LIMIT_S)
             self.assertIs(outcome.status, ClaimStatus.GRANTED)
 
     def test_entry_connects_to_the_leader(self) -> None:
@@ -116,16 +116,16 @@
             lambda: agent.client.is_connected, 'the agent has failed over'
         )
         self.pause(2.5)
-        news = [
+        changed_names = [
             record.name
             for changes in watcher.changes[before:]
             for record in changes.members
             if changes.from_version
         ]
-        self.assertNotIn('agent-1', news)
+        self.assertNotIn('agent-1', changed_names)
         self.assertTrue(watcher.alive_by_name['agent-1'])
 
-    def test_members_of_a_host_that_died_with_it(self) -> None:
+    def test_member_that_fails_together_with_its_host(self) -> None:
         one, two = self.followers()
         watcher = self.member('entry', 'entry-1', '', self.settings_for(one))
         agent = self.member('agent', 'agent-1', '', self.settings_for(two))
@@ -137,16 +137,16 @@
         agent.client.stop(leaving=False)
         self.wait_until(
             lambda: not watcher.alive_by_name['agent-1'],
-            'the leader has noted the death',
+            'the leader has recorded the failure',
         )
 
-    def test_restart_far_behind(self) -> None:
+    def test_host_that_restarts_far_behind_catches_up(self) -> None:
         tool = self.member('tool', 'tool-1')
         (name,) = self.followers()[:1]
         self.stop_host(name)
         for number in range(1, 301):
             value = {QUOTA: {'tasks_per_second': number}}
-            tool.client.put_ticket(number, value).result(LONGEST_WAIT_S)
+            tool.client.put_ticket(number, value).result(WAIT_LIMIT_S)
         self.start_host(name)
         late = self.member('agent', 'agent-1', '', self.settings_for(name))
         self.wait_until(
@@ -165,7 +165,7 @@
         )
         self.assertFalse(new.client.is_superseded)
 
-    def test_minority_refuses_and_its_members_move(self) -> None:
+    def test_minority_refuses_and_its_members_fail_over(self) -> None:
         leader = self.leader()
         one, two = self.followers()
         entry = self.member('entry', 'entry-1')
@@ -177,7 +177,7 @@
             self.stop_host(name)
         with self.assertRaises(ControlUnavailableError):
             tool.client.put_ticket(1, {QUOTA: {'tasks_per_second': 1}}).result(
-                LONGEST_WAIT_S
+                WAIT_LIMIT_S
             )
         self.wait_until(
             lambda: not self.host(leader).is_ready, 'the host is not ready'
@@ -187,6 +187,4 @@
         for name in (one, two):
             self.start_host(name)
         outcome = entry.client.claim(claim('kurek.1.n'))
-        self.assertIs(
-            outcome.result(LONGEST_WAIT_S).status, ClaimStatus.GRANTED
-        )
+        self.assertIs(outcome.result(WAIT_LIMIT_S).status, ClaimStatus.GRANTED)
--- a/baobabgap/control/tests/test_links.py
+++ b/baobabgap/control/tests/test_links.py
@@ -1,12 +1,16 @@
-"""Links of members that go silent."""
+"""Tests of links that stop carrying bytes without being closed.
+
+Such a link reports no error: a request on it would wait for its answer
+until the deadline, and the member would stay connected to no host.
+"""
 
 from dataclasses import replace
 
 from baobabgap.control.tests._cut_relay import CutRelay
 from baobabgap.control.tests._group import claim
 from baobabgap.control.tests._group import GroupTest
-from baobabgap.control.tests._group import LONGEST_WAIT_S
 from baobabgap.control.tests._group import Member
+from baobabgap.control.tests._group import WAIT_LIMIT_S
 from baobabgap.messages import ClaimStatus
 from baobabgap.settings import ControlHost
 
@@ -20,12 +24,14 @@
             self.settings,
             control_hosts=(ControlHost('relayed', '127.0.0.1', relay.port),),
         )
-        # Not an entry, which would follow the hint around the relay.
+        # An entry would follow the leader hint and bypass the relay.
         member = self.member('agent', name, '', settings)
-        self.wait_until(lambda: member.client.version > 0, 'it has joined')
+        self.wait_until(
+            lambda: member.client.version > 0, 'the member has joined'
+        )
         return relay, member
 
-    def test_claim_is_answered_although_the_link_goes_silent(self) -> None:
+    def test_claim_is_answered_after_the_link_goes_silent(self) -> None:
         cases = [
             ('both directions', True, True),
             ('requests are lost', True, False),
@@ -37,26 +43,26 @@
                 relay, member = self.relayed_member(f'agent-{label}')
                 relay.silence(to_host=to_host, to_member=to_member)
                 future = member.client.claim(claim(f'kurek.5.{label}'))
-                outcome = future.result(LONGEST_WAIT_S)
+                outcome = future.result(WAIT_LIMIT_S)
                 self.assertIs(outcome.status, ClaimStatus.GRANTED)
 
-    def test_silent_member_that_comes_back_is_alive_again(self) -> None:
+    def test_silent_member_that_reconnects_is_alive_again(self) -> None:
         watcher = self.member('entry', 'entry-1')
         relay, member = self.relayed_member('agent-1')
         relay.silence()
         self.wait_until(
-            lambda: not member.client.is_connected, 'it gives the link up'
+            lambda: not member.client.is_connected, 'the silent link is closed'
         )
         self.wait_until(
-            lambda: member.client.is_connected, 'it has a new link'
+            lambda: member.client.is_connected, 'the member has a new link'
         )
         self.pause(1.0)
         self.wait_until(
             lambda: watcher.alive_by_name.get('agent-1', False),
-            'it counts as alive',
+            'the member counts as alive',
         )
 
-    def test_stop_fails_what_is_not_answered(self) -> None:
+    def test_stop_fails_unanswered_requests(self) -> None:
         relay, member = self.relayed_member('agent-1')
         relay.silence()
         future = member.client.claim(claim('kurek.5.n'))
--- a/baobabgap/control/tests/test_single_host.py
+++ b/baobabgap/control/tests/test_single_host.py
@@ -1,8 +1,8 @@
-"""One control host and its members, end to end."""
+"""End-to-end tests of one control host with members."""
 
 from baobabgap.control.tests._group import claim
 from baobabgap.control.tests._group import GroupTest
-from baobabgap.control.tests._group import LONGEST_WAIT_S
+from baobabgap.control.tests._group import WAIT_LIMIT_S
 from baobabgap.messages import ClaimStatus
 from baobabgap.messages import TicketStatus
 from baobabgap.web import WebClient
@@ -13,41 +13,41 @@
         first = self.member('entry', 'entry-1')
         second = self.member('entry', 'entry-2')
         job = 'kurek.1000.heat-4'
-        granted = first.client.claim(claim(job)).result(LONGEST_WAIT_S)
+        granted = first.client.claim(claim(job)).result(WAIT_LIMIT_S)
         self.assertIs(granted.status, ClaimStatus.GRANTED)
-        owned = second.client.claim(claim(job)).result(LONGEST_WAIT_S)
+        owned = second.client.claim(claim(job)).result(WAIT_LIMIT_S)
         self.assertIs(owned.status, ClaimStatus.OWNED)
         self.assertEqual(owned.owner, 'entry-1')
-        looked = second.client.lookup(claim(job, b'')).result(LONGEST_WAIT_S)
+        looked = second.client.lookup(claim(job, b'')).result(WAIT_LIMIT_S)
         self.assertIs(looked.status, ClaimStatus.OWNED)
 
-    def test_released_job_is_free_again(self) -> None:
+    def test_released_job_is_unclaimed_again(self) -> None:
         first = self.member('entry', 'entry-1')
         second = self.member('entry', 'entry-2')
         job = 'kurek.1000.heat-4'
-        first.client.claim(claim(job)).result(LONGEST_WAIT_S)
+        first.client.claim(claim(job)).result(WAIT_LIMIT_S)
         first.client.release([job])
 
-        def is_free() -> bool:
-            found = second.client.lookup(claim(job)).result(LONGEST_WAIT_S)
+        def is_unclaimed() -> bool:
+            found = second.client.lookup(claim(job)).result(WAIT_LIMIT_S)
             return found.status is ClaimStatus.UNCLAIMED
 
-        self.wait_until(is_free, 'the release is applied')
+        self.wait_until(is_unclaimed, 'the release is applied')
 
-    def test_many_claims_at_once_get_their_own_outcomes(self) -> None:
+    def test_each_of_many_concurrent_claims_gets_its_own_outcome(self) -> None:
         entry = self.member('entry', 'entry-1')
         futures = {
             f'kurek.{number}.n': entry.client.claim(claim(f'kurek.{number}.n'))
             for number in range(1, 1001)
         }
         for job, future in futures.items():
-            self.assertEqual(future.result(LONGEST_WAIT_S).job, job)
+            self.assertEqual(future.result(WAIT_LIMIT_S).job, job)
 
     def test_ticket_reaches_members(self) -> None:
         agent = self.member('agent', 'agent-1')
         tool = self.member('tool', 'tool-1')
         state = {'quota/rowing': {'tasks_per_second': 5}}
-        outcome = tool.client.put_ticket(1, state).result(LONGEST_WAIT_S)
+        outcome = tool.client.put_ticket(1, state).result(WAIT_LIMIT_S)
         self.assertIs(outcome.status, TicketStatus.ACCEPTED)
         self.wait_until(
             lambda: agent.client.version >= outcome.version,
@@ -56,11 +56,11 @@
         self.assertEqual(
             agent.value_by_key['quota/rowing'], {'tasks_per_second': 5}
         )
-        history = tool.client.query('tickets').result(LONGEST_WAIT_S)
+        history = tool.client.query('tickets').result(WAIT_LIMIT_S)
         self.assertEqual(history['tickets'][0]['number'], 1)
 
         def shown_version() -> int:
-            page = tool.client.query('members').result(LONGEST_WAIT_S)
+            page = tool.client.query('members').result(WAIT_LIMIT_S)
             version_by_name = {
                 row['name']: row['version_in_force'] or 0
                 for row in page['members']
@@ -72,10 +72,10 @@
             'the members page shows the version in force',
         )
 
-    def test_joins_leaves_and_deaths_reach_subscribers(self) -> None:
+    def test_joins_leaves_and_failures_reach_subscribers(self) -> None:
         entry = self.member('entry', 'entry-1')
         leaving = self.member('agent', 'agent-1')
-        dying = self.member('agent', 'agent-2')
+        failing = self.member('agent', 'agent-2')
         self.wait_until(
             lambda: (
                 entry.alive_by_name.get('agent-1', False)
@@ -84,13 +84,13 @@
             'both joins arrive',
         )
         leaving.client.stop()
-        dying.client.stop(leaving=False)
+        failing.client.stop(leaving=False)
         self.wait_until(
             lambda: (
                 not entry.alive_by_name['agent-1']
                 and not entry.alive_by_name['agent-2']
             ),
-            'the leave and the death arrive',
+            'the leave and the failure arrive',
         )
 
     def test_health_and_metrics_are_served(self) -> None:
--- a/baobabgap/control/tests/test_state.py
+++ b/baobabgap/control/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Tickets and members within the replicated state."""
+"""Tests of tickets, members and log time in the replicated state."""
 
 from dataclasses import replace
 from typing import Any
@@ -6,24 +6,24 @@
 
 from baobabgap.control._commands import ClaimCommand
 from baobabgap.control._commands import Command
-from baobabgap.control._commands import DeathCommand
 from baobabgap.control._commands import encode_command
 from baobabgap.control._commands import JoinCommand
 from baobabgap.control._commands import LeaveCommand
 from baobabgap.control._commands import LookupQuery
+from baobabgap.control._commands import MemberFailureCommand
 from baobabgap.control._commands import stamp
 from baobabgap.control._commands import TicketCommand
 from baobabgap.control._state import ControlState
+from baobabgap.control._tickets import BASE_CHANGED
 from baobabgap.control._tickets import canonical_content
-from baobabgap.control._tickets import MOVED_ON
 from baobabgap.messages import Changes
 from baobabgap.settings import ControlSettings
 
 ROLES = ('entry', 'agent')
 
 
-class Log:
-    """Applies commands with growing indexes."""
+class CommandLog:
+    """Applies commands with increasing indexes."""
 
     def __init__(self, settings: ControlSettings | None = None) -> None:
         self.settings = settings or ControlSettings()
@@ -77,7 +77,7 @@
         for restarts in (0, 1):
             for name, number, value, status, newest in cases:
                 with self.subTest(name, restarts=restarts):
-                    log = Log()
+                    log = CommandLog()
                     log.ticket(5, 'a')
                     log.ticket(7, 'b')
                     for _ in range(restarts):
@@ -86,26 +86,28 @@
                     self.assertEqual(result[:2], [status, newest])
 
     def test_resent_ticket_gets_its_first_answer(self) -> None:
-        log = Log()
+        log = CommandLog()
         first = log.ticket(5, 'a')
         for number in range(6, 20):
             log.ticket(number, 'b')
         log.restart()
         self.assertEqual(log.ticket(5, 'a'), first)
 
-    def test_loser_is_told_the_winner(self) -> None:
-        log = Log()
+    def test_lost_ticket_is_answered_with_the_accepted_content(self) -> None:
+        log = CommandLog()
         log.ticket(5, 'a')
         self.assertEqual(log.ticket(5, 'x')[4], {'quota/rowing': 'a'})
 
-    def test_ticket_validated_on_an_older_state_is_not_accepted(self) -> None:
-        log = Log()
+    def test_ticket_validated_on_an_outdated_state_is_not_accepted(
+        self,
+    ) -> None:
+        log = CommandLog()
         log.ticket(5, 'a')
-        self.assertEqual(log.ticket(6, 'b', base=0)[0], MOVED_ON)
+        self.assertEqual(log.ticket(6, 'b', base=0)[0], BASE_CHANGED)
         self.assertEqual(log.state.tickets.newest_number, 5)
 
     def test_history_is_bounded_and_older_numbers_stay_refused(self) -> None:
-        log = Log(ControlSettings(kept_tickets=3))
+        log = CommandLog(ControlSettings(kept_tickets=3))
         for number in range(1, 11):
             log.ticket(number, number)
         self.assertEqual(len(log.state.tickets.history()), 3)
@@ -116,37 +118,37 @@
 
 
 class MemberRulesTest(unittest.TestCase):
-    def alive(self, log: Log, name: str) -> tuple[str, bool]:
+    def alive(self, log: CommandLog, name: str) -> tuple[str, bool]:
         member = log.state.member(name)
         assert member is not None
         return member.record.incarnation, member.record.alive
 
     def test_newest_join_wins(self) -> None:
-        log = Log()
+        log = CommandLog()
         self.assertEqual(log.join('m', 'old'), 'old')
         self.assertEqual(log.join('m', 'new'), 'new')
         self.assertEqual(log.join('m', 'old', 2), 'new')
         log.put(LeaveCommand('m', 'old'))
-        log.put(DeathCommand('m', 'old', ('c', 'c-a', 1)))
+        log.put(MemberFailureCommand('m', 'old', ('c', 'c-a', 1)))
         self.assertEqual(self.alive(log, 'm'), ('new', True))
 
-    def test_death_counts_only_for_the_attachment_that_was_lost(self) -> None:
+    def test_failure_counts_only_for_the_lost_attachment(self) -> None:
         cases = [
             ('same session', 1, 1, False),
             ('reconnected since', 2, 1, True),
         ]
         for name, attached, lost, expected in cases:
             with self.subTest(name):
-                log = Log()
+                log = CommandLog()
                 log.join('m', 'a', 1)
                 log.join('m', 'a', attached)
-                log.put(DeathCommand('m', 'a', ('c', 'c-a', lost)))
+                log.put(MemberFailureCommand('m', 'a', ('c', 'c-a', lost)))
                 self.assertEqual(self.alive(log, 'm'), ('a', expected))
 
-    def test_death_is_undone_by_return_and_leave_is_not(self) -> None:
-        log = Log()
+    def test_reconnect_revokes_a_failure_but_not_a_leave(self) -> None:
+        log = CommandLog()
         log.join('m', 'a')
-        log.put(DeathCommand('m', 'a', ('c', 'c-a', 1)))
+        log.put(MemberFailureCommand('m', 'a', ('c', 'c-a', 1)))
         log.join('m', 'a', 2)
         self.assertEqual(self.alive(log, 'm'), ('a', True))
         log.put(LeaveCommand('m', 'a'))
@@ -155,8 +157,8 @@
         log.join('m', 'b', 4)
         self.assertEqual(self.alive(log, 'm'), ('b', True))
 
-    def test_reconnect_makes_no_new_version(self) -> None:
-        log = Log()
+    def test_reconnect_creates_no_new_version(self) -> None:
+        log = CommandLog()
         log.join('m', 'a', 1)
         version = log.state.version
         log.join('m', 'a', 2)
@@ -164,13 +166,13 @@
 
 
 class ChangesTest(unittest.TestCase):
-    def changes(self, log: Log, version: int) -> Changes:
+    def changes(self, log: CommandLog, version: int) -> Changes:
         found = log.state.changes_after(version, ROLES)
         assert found is not None
         return found
 
-    def test_reader_gets_only_what_it_missed(self) -> None:
-        log = Log()
+    def test_reader_gets_only_changes_that_it_missed(self) -> None:
+        log = CommandLog()
         for number in range(200):
             log.join(f'm-{number}', 'a')
         seen = log.state.version
@@ -185,15 +187,17 @@
         self.assertEqual([e.ticket for e in changes.configuration], [1])
 
     def test_roles_are_filtered(self) -> None:
-        log = Log()
+        log = CommandLog()
         log.join('a', 'a', role='agent')
         log.join('e', 'a', role='entry')
         changes = log.state.changes_after(0, ('entry',))
         assert changes is not None
         self.assertEqual([m.name for m in changes.members], ['e'])
 
-    def test_reader_from_before_what_is_kept_gets_the_whole(self) -> None:
-        log = Log(ControlSettings(kept_gone_members=2))
+    def test_reader_gets_the_whole_state_after_forgotten_changes(
+        self,
+    ) -> None:
+        log = CommandLog(ControlSettings(kept_gone_members=2))
         log.join('stays', 'a')
         seen = log.state.version
         for number in range(5):
@@ -208,7 +212,7 @@
 
 class LogTimeTest(unittest.TestCase):
     def test_clocks_of_two_leaders_are_not_compared(self) -> None:
-        log = Log(ControlSettings(claim_window_s=1.0))
+        log = CommandLog(ControlSettings(claim_window_s=1.0))
         command = ClaimCommand('e', 'e-a', '', 1, [('kurek.1.n', b'd', 1)])
         log.put(command, 'first', 5_000)
         newer = replace(command, claims=[('kurek.2.n', b'd', 1)])
--- a/baobabgap/control/tests/test_ticket_desk.py
+++ b/baobabgap/control/tests/test_ticket_submitter.py
@@ -1,4 +1,4 @@
-"""Validation of change tickets on a control host."""
+"""Tests of the validation and submission of change tickets."""
 
 from concurrent.futures import Future
 from typing import Any
@@ -8,7 +8,7 @@
 from baobabgap.control._commands import encode_command
 from baobabgap.control._commands import stamp
 from baobabgap.control._state import ControlState
-from baobabgap.control._ticket_desk import TicketDesk
+from baobabgap.control._ticket_submitter import TicketSubmitter
 from baobabgap.messages import PutTicket
 from baobabgap.messages import TicketOutcome
 from baobabgap.messages import TicketStatus
@@ -18,17 +18,17 @@
 GOOD = {'quota/rowing': {'tasks_per_second': 5}}
 
 
-class TicketDeskTest(unittest.TestCase):
+class TicketSubmitterTest(unittest.TestCase):
     def setUp(self) -> None:
         self.state = ControlState(ControlSettings())
         self.index = 0
-        # Commands that get in before the next one.
-        self.overtaking: list[dict[str, Any]] = []
-        self.desk = TicketDesk(self.state, self.submit, 2000, 5.0)
+        # States of tickets that are committed before the next command.
+        self.committed_before: list[dict[str, Any]] = []
+        self.submitter = TicketSubmitter(self.state, self.submit, 2000, 5.0)
 
     def submit(self, command: Command) -> Future[Any]:
-        if self.overtaking:
-            state_by_key = self.overtaking.pop()
+        if self.committed_before:
+            state_by_key = self.committed_before.pop()
             self.put(self.state.tickets.newest_number + 1, state_by_key)
         self.index += 1
         data = stamp(encode_command(command), 'leader', 0)
@@ -37,9 +37,9 @@
         return future
 
     def put(self, number: int, state_by_key: dict[str, Any]) -> TicketOutcome:
-        return self.desk.put(PutTicket(1, number, state_by_key))
+        return self.submitter.put(PutTicket(1, number, state_by_key))
 
-    def test_bad_tickets_are_refused_whole_with_key_and_reason(self) -> None:
+    def test_invalid_ticket_is_refused_with_key_and_reason(self) -> None:
         bad_quota = {'tasks_per_second': -1}
         cases: list[tuple[str, int, dict[str, Any], str]] = [
             ('unknown key', 9, {'colour': 'red'}, 'colour: unknown key'),
@@ -68,8 +68,8 @@
         self.assertEqual(changes.to_version, outcome.version)
         self.assertEqual(changes.configuration[0].value, GOOD['quota/rowing'])
 
-    def test_overtaken_ticket_is_validated_again(self) -> None:
-        self.overtaking = [{'policy': {}}]
+    def test_ticket_with_an_outdated_base_is_validated_again(self) -> None:
+        self.committed_before = [{'policy': {}}]
         outcome = self.put(7, GOOD)
         self.assertIs(outcome.status, TicketStatus.ACCEPTED)
         self.assertEqual(
@@ -77,8 +77,8 @@
             ['policy', 'quota/rowing'],
         )
 
-    def test_overtaken_number_is_lost(self) -> None:
-        self.overtaking = [{'policy': {}}]
+    def test_ticket_whose_number_was_taken_is_lost(self) -> None:
+        self.committed_before = [{'policy': {}}]
         outcome = self.put(1, GOOD)
         self.assertIs(outcome.status, TicketStatus.LOST)
         self.assertEqual(outcome.winner, {'policy': {}})
@@ -89,6 +89,6 @@
             future.set_exception(NotLeader('propose', None))
             return future
 
-        desk = TicketDesk(self.state, refuse, 2000, 5.0)
+        submitter = TicketSubmitter(self.state, refuse, 2000, 5.0)
         with self.assertRaises(NotLeader):
-            desk.put(PutTicket(1, 1, GOOD))
+            submitter.put(PutTicket(1, 1, GOOD))
