--- a/baobabgap/control/_host.py
+++ b/baobabgap/control/_host.py
@@ -136,7 +136,7 @@
     def stop(self) -> None:
         """Hand over leadership, answer requests in progress and stop.
 
-        Requests that take longer than a time limit are not answered.
+        Requests that take longer than a time limit are not waited for.
         """
         self._is_draining = True
         self._background_tasks.leave()
@@ -268,9 +268,11 @@
             self._sessions.close(session)
 
     def _handle(self, session: Session, message: object) -> None:
-        if self._request_handler.handle(message, session.connection.send):
+        if self._request_handler.handle_request(
+            message, session.connection.send
+        ):
             return
-        self._sessions.handle(session, message)
+        self._sessions.handle_message(session, message)
         if isinstance(message, Leave):
             peer = session.connection.peer
             self._command_router.submit(
--- a/baobabgap/control/_request_handler.py
+++ b/baobabgap/control/_request_handler.py
@@ -59,7 +59,7 @@
         self._in_progress = 0
         self._is_closed = False
 
-    def handle(self, message: object, send: Send) -> bool:
+    def handle_request(self, message: object, send: Send) -> bool:
         """Start a request; return False if the message is none.
 
         `send` is called with the answer once the request has ended.
--- a/baobabgap/control/_sessions.py
+++ b/baobabgap/control/_sessions.py
@@ -139,7 +139,7 @@
         with self._lock:
             return list(self._session_by_number.values())
 
-    def handle(self, session: Session, message: object) -> None:
+    def handle_message(self, session: Session, message: object) -> None:
         """Handle a message that is no request."""
         match message:
             case Subscribe():
@@ -161,9 +161,7 @@
         """
         cache: ChangesCache = {}
         sessions = self.all()
-        sessions.sort(
-            key=lambda session: session.connection.peer.role != ENTRY_ROLE
-        )
+        sessions.sort(key=lambda each: each.connection.peer.role != ENTRY_ROLE)
         pushed = 0
         for session in sessions:
             if session.push(self._state, cache):
--- a/baobabgap/control/_ticket_submitter.py
+++ b/baobabgap/control/_ticket_submitter.py
@@ -47,8 +47,9 @@
     def put(self, ticket: PutTicket) -> TicketOutcome:
         """Submit a ticket and return its outcome.
 
-        Raises `NotLeader` if there is no outcome within the time limit,
-        and the errors of the futures of `CommandRouter.submit`.
+        Raises `NotLeader` if other tickets are committed first until the
+        time limit, `TimeoutError` if a command isn't answered by then, and
+        the errors of the futures of `CommandRouter.submit`.
         """
         deadline = time.monotonic() + self._wait_s
         while time.monotonic() < deadline:
--- a/baobabgap/control/tests/test_claims.py
+++ b/baobabgap/control/tests/test_claims.py
@@ -172,7 +172,7 @@
         """Without releases, a job is granted to one owner and token only."""
         rng = random.Random(7)
         claims = claims_with(max_claims=20, max_per_client=12, window_ms=40)
-        owner_by_job: dict[str, tuple[str, int]] = {}
+        grant_by_job: dict[str, tuple[str, int]] = {}
         for step in range(4000):
             client = rng.choice('abc')
             job = f'{client}.{step // 20 + rng.randrange(30)}.n'
@@ -180,8 +180,8 @@
             token = rng.randrange(3)
             status = submit_claim(claims, job, owner, b'd', token, step, step)
             if status is GRANTED:
-                granted_to = owner_by_job.setdefault(job, (owner, token))
-                self.assertEqual(granted_to, (owner, token))
+                first_grant = grant_by_job.setdefault(job, (owner, token))
+                self.assertEqual(first_grant, (owner, token))
             if rng.random() < 0.05:
                 restored = claims_with(
                     max_claims=20, max_per_client=12, window_ms=40
--- a/baobabgap/control/tests/test_client.py
+++ b/baobabgap/control/tests/test_client.py
@@ -1,4 +1,9 @@
-"""Tests of the control client against a scripted control host."""
+"""Tests of the control client against a scripted control host.
+
+They guard against changes that are applied out of order, requests that
+are lost with their link or block later ones, and an error that says
+`unchanged` although the request may have taken effect.
+"""
 
 from collections.abc import Callable
 from concurrent.futures import Future
--- a/baobabgap/control/tests/test_group.py
+++ b/baobabgap/control/tests/test_group.py
@@ -1,4 +1,9 @@
-"""Tests of a group of three control hosts with members."""
+"""Tests of a group of three control hosts with members.
+
+They guard against a failover, of the leader or of a member's host, that
+loses a claim or a ticket, grants a job twice or shows a member that is
+alive as gone.
+"""
 
 from baobabgap.control._client_errors import ControlUnavailableError
 from baobabgap.control._host import ControlHostProcess
--- a/baobabgap/control/tests/test_state.py
+++ b/baobabgap/control/tests/test_state.py
@@ -1,4 +1,8 @@
-"""Tests of tickets, members and log time in the replicated state."""
+"""Tests of tickets, members and log time in the replicated state.
+
+They guard against a resend, a late command of an earlier incarnation or a
+restart from a snapshot that changes what was decided before.
+"""
 
 from dataclasses import replace
 from typing import Any
--- a/baobabgap/control/tests/test_ticket_submitter.py
+++ b/baobabgap/control/tests/test_ticket_submitter.py
@@ -1,4 +1,8 @@
-"""Tests of the validation and submission of change tickets."""
+"""Tests of the validation and submission of change tickets.
+
+They guard against the acceptance of a ticket that is invalid, alone or
+together with one that is committed while it is validated.
+"""
 
 from concurrent.futures import Future
 from typing import Any
