--- a/baobabgap/control/tests/_cut_relay.py
+++ b/baobabgap/control/tests/_silenceable_relay.py
@@ -4,7 +4,7 @@
 import threading
 
 
-class CutRelay:
+class SilenceableRelay:
     """Forwards connections to one port of this machine.
 
     Connections that are open when `silence` is called stay open, but
--- a/baobabgap/control/tests/test_links.py
+++ b/baobabgap/control/tests/test_links.py
@@ -6,19 +6,19 @@
 
 from dataclasses import replace
 
-from baobabgap.control.tests._cut_relay import CutRelay
 from baobabgap.control.tests._group import claim
 from baobabgap.control.tests._group import GroupTest
 from baobabgap.control.tests._group import Member
 from baobabgap.control.tests._group import WAIT_LIMIT_S
+from baobabgap.control.tests._silenceable_relay import SilenceableRelay
 from baobabgap.messages import ClaimStatus
 from baobabgap.settings import ControlHost
 
 
 class SilentLinkTest(GroupTest):
-    def relayed_member(self, name: str) -> tuple[CutRelay, Member]:
+    def relayed_member(self, name: str) -> tuple[SilenceableRelay, Member]:
         host = self.host_by_name['control-1']
-        relay = CutRelay(host.internal_port)
+        relay = SilenceableRelay(host.internal_port)
         self.addCleanup(relay.close)
         settings = replace(
             self.settings,
--- a/tools/history/_deployment.py
+++ b/tools/history/_deployment.py
@@ -4,7 +4,7 @@
 from typing import Final
 from typing import Self
 
-from baobabgap.control.tests._cut_relay import CutRelay
+from baobabgap.control.tests._silenceable_relay import SilenceableRelay
 from tools.deployment_plan import DeploymentPlan
 from tools.deployment_plan import PlannedProcess
 from tools.history._events import Started
@@ -52,7 +52,9 @@
     """
 
     def __init__(
-        self, launcher: Launcher, relays_by_member: dict[str, list[CutRelay]]
+        self,
+        launcher: Launcher,
+        relays_by_member: dict[str, list[SilenceableRelay]],
     ) -> None:
         self.launcher = launcher
         self._relays_by_member = relays_by_member
@@ -136,12 +138,12 @@
         return found
 
 
-def _put_relays_between(member: PlannedProcess) -> list[CutRelay]:
+def _put_relays_between(member: PlannedProcess) -> list[SilenceableRelay]:
     """Replace the control hosts' ports by those of relays."""
     relays = []
     hosts = []
     for host in member.settings['control_hosts']:
-        relay = CutRelay(host['port'])
+        relay = SilenceableRelay(host['port'])
         relays.append(relay)
         hosts.append({**host, 'port': relay.port})
     member.settings['control_hosts'] = hosts
--- a/tools/matrix/_relay.py
+++ b/tools/matrix/_relay.py
@@ -1,6 +1,6 @@
 """TCP relays that can fall silent between named processes.
 
-`baobabgap.control.tests._cut_relay` mutes whatever is open; these also
+`baobabgap.control.tests._silenceable_relay` mutes whatever is open; these also
 know who dialled, so that one process is cut off from all others, on new
 connections too. What was cut stays open and silent for good; connections
 made after the cut has healed work.
