--- a/baobabgap/replication/__init__.py
+++ b/baobabgap/replication/__init__.py
@@ -1,7 +1,7 @@
-"""The durable log that the control hosts replicate among themselves.
+"""A durable log of commands, replicated among the control hosts.
 
-Commands are opaque bytes. A command is acknowledged once it is synced on
-a majority of the hosts, and every host applies the same commands in the
+Commands are opaque bytes. A command is acknowledged once a majority of
+the hosts has synced it, and every host applies the same commands in the
 same order. docs/PROTOCOL-REPLICATION.md states the guarantees.
 """
 
--- a/baobabgap/replication/_applier.py
+++ b/baobabgap/replication/_applier.py
@@ -1,4 +1,4 @@
-"""The task that feeds the state machine and takes its snapshots."""
+"""The task that applies entries and saves snapshots."""
 
 from concurrent.futures import Executor
 from concurrent.futures import Future
@@ -19,14 +19,14 @@
 from baobabgap.replication._writer import LogWriter
 from baobabgap.telemetry import log_event
 
-_LARGEST_STEP_BYTES: Final = 1024 * 1024
+_LARGEST_BATCH_BYTES: Final = 1024 * 1024
 
 
 class Applier:
     """Applies committed commands in order and resolves their futures.
 
-    It also completes read barriers and, once enough was applied, has a
-    snapshot saved and the log compacted.
+    It also completes read barriers, and saves a snapshot and compacts the
+    log whenever enough entries have been applied.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         self._limits: Final = limits
         self._reads: Final = reads
         self._pool: Final = pool
-        self._restoring = storage.recovered.snapshot
+        self._snapshot_to_restore = storage.recovered.snapshot
         self._bytes_since_snapshot = 0
         self._last_snapshot_bytes = 0
-        self._saving = False
+        self._is_saving = False
 
     def install(self, snapshot: Snapshot) -> None:
-        """Go on from a leader's snapshot; the lock is held."""
+        """Replace the state by a leader's snapshot; the lock is held."""
         state = self._state
         window = state.window
         agrees = (
@@ -68,34 +68,37 @@
                 Membership.from_bytes(snapshot.membership),
                 (),
             )
-            state.unwritten = []
-            state.durable = 0
-        self._restoring = snapshot
+            state.unwritten_entries = []
+            state.durable_index = 0
+        self._snapshot_to_restore = snapshot
         state.advance_commit(snapshot.index)
 
     def run(self) -> None:
-        """Apply until stopped."""
+        """Apply entries until the host stops."""
         while True:
             with self._state.lock:
                 if not self._wait_for_work():
                     return
-                restoring = self._restoring
-                self._restoring = None
-                entries = [] if restoring else self._next_entries()
-            if restoring is not None:
-                self._restore(restoring)
+                snapshot = self._snapshot_to_restore
+                self._snapshot_to_restore = None
+                entries = [] if snapshot else self._next_entries()
+            if snapshot is not None:
+                self._restore(snapshot)
             else:
                 self._apply(entries)
-            self._reads.complete_applied()
+            self._reads.complete_ready()
             self._save_snapshot_if_due()
 
     def _wait_for_work(self) -> bool:
-        """Wait, with the lock held; tell whether there is work."""
+        """Wait for work with the lock held; return False on a stop."""
         state = self._state
         while True:
-            if self._restoring is not None or state.applied < state.commit:
+            if (
+                self._snapshot_to_restore is not None
+                or state.applied_index < state.commit_index
+            ):
                 return True
-            if self._reads.has_applied():
+            if self._reads.has_ready():
                 return True
             if state.stopping:
                 return False
@@ -103,10 +106,10 @@
 
     def _next_entries(self) -> list[Entry]:
         state = self._state
-        if state.applied >= state.commit:
+        if state.applied_index >= state.commit_index:
             return []
         return state.window.entries_from(
-            state.applied + 1, _LARGEST_STEP_BYTES, state.commit
+            state.applied_index + 1, _LARGEST_BATCH_BYTES, state.commit_index
         )
 
     def _restore(self, snapshot: Snapshot) -> None:
@@ -115,7 +118,7 @@
         self._bytes_since_snapshot = 0
         self._last_snapshot_bytes = len(snapshot.state)
         with self._state.lock:
-            self._state.applied = snapshot.index
+            self._state.applied_index = snapshot.index
 
     def _apply(self, entries: list[Entry]) -> None:
         for entry in entries:
@@ -125,23 +128,23 @@
                 try:
                     result = self._machine.apply(entry.index, entry.data)
                 except Exception as error:
-                    # Deterministic, so every host sees the same failure.
+                    # Commands are deterministic: they fail on every host.
                     failure = error
             self._bytes_since_snapshot += entry.encoded_bytes
             with self._state.lock:
-                self._state.applied = entry.index
+                self._state.applied_index = entry.index
                 future = self._state.future_by_index.pop(entry.index, None)
             _resolve(future, result, failure)
 
     def _save_snapshot_if_due(self) -> None:
-        due_at = max(
+        threshold_bytes = max(
             self._limits.snapshot_after_bytes, self._last_snapshot_bytes
         )
-        if self._bytes_since_snapshot < due_at or self._saving:
+        if self._bytes_since_snapshot < threshold_bytes or self._is_saving:
             return
         state = self._state
         with state.lock:
-            index = state.applied
+            index = state.applied_index
             if index < state.window.compacted_index:
                 return
             term = state.window.term_at(index)
@@ -149,7 +152,7 @@
         snapshot = Snapshot(index, term, membership, self._machine.snapshot())
         self._bytes_since_snapshot = 0
         self._last_snapshot_bytes = len(snapshot.state)
-        self._saving = True
+        self._is_saving = True
         self._pool.submit(self._save_snapshot, snapshot)
 
     def _save_snapshot(self, snapshot: Snapshot) -> None:
@@ -159,7 +162,7 @@
                 window = self._state.window
                 if window.has_term_of(snapshot.index):
                     window.compact(
-                        window.kept_after(
+                        window.compaction_index(
                             snapshot.index, self._limits.kept_bytes
                         )
                     )
@@ -168,7 +171,7 @@
         except StorageUnavailable as error:
             log_event('snapshot_not_saved', reason=str(error))
         finally:
-            self._saving = False
+            self._is_saving = False
 
 
 def _resolve(
--- a/baobabgap/replication/_changes.py
+++ b/baobabgap/replication/_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the membership: one voter's store at a time."""
+"""Membership changes, each of which affects one voter's store."""
 
 from concurrent.futures import Future
 from dataclasses import replace
@@ -21,28 +21,30 @@
 
 
 class MembershipChanges:
-    """Adds, removes and repairs members, as the leader.
+    """Adds, removes and repairs members; runs on the leader.
 
-    A host whose disk was replaced is first demoted to a learner with its
-    new store, and becomes a voter again once it has caught up. Both
-    steps are committed one after the other, so that the old store can't
-    count any more before the new one does.
+    A host whose disk was replaced first becomes a learner with its new
+    store, and a voter again once it has caught up. The second change
+    starts only after the first one is committed, so that the old store
+    no longer counts toward the quorum when the new one starts to.
     """
 
     def __init__(self, state: GroupState, peers: Peers) -> None:
         self._state: Final = state
         self._peers: Final = peers
-        self._awaited_by_name: dict[str, Future[None]] = {}
+        self._future_by_name: dict[str, Future[None]] = {}
 
     def tick(self) -> None:
-        """Take the next step that is due; the lock is held."""
+        """Start the next due change, if any; the lock is held."""
         if not self._may_change():
             return
-        self._complete_awaited()
+        self._complete_futures()
         for member in self._state.membership.members:
-            changed = self._next_step(member)
+            changed = self._due_change(member)
             if changed is not None:
-                self._put(self._state.membership.with_member(changed))
+                self._append_membership(
+                    self._state.membership.with_member(changed)
+                )
                 log_event(
                     'member_changed',
                     member=changed.name,
@@ -55,71 +57,76 @@
         """Add a host; completes once it is a voter."""
         with self._state.lock:
             membership = self._state.membership
-            problem = self._cannot_change()
+            obstacle = self._change_obstacle()
             if membership.member(host.name) is not None:
-                problem = f'{host.name} is a member already'
+                obstacle = f'{host.name} is a member already'
             elif len(membership.members) >= LARGEST_GROUP:
-                problem = f'at most {LARGEST_GROUP} hosts'
-            if problem:
-                return self._refused(problem)
+                obstacle = f'at most {LARGEST_GROUP} hosts'
+            if obstacle:
+                return self._refused_future(obstacle)
             learner = Member.from_control_host(host, '', voter=False)
-            self._put(membership.with_member(learner))
-            return self._await(host.name)
+            self._append_membership(membership.with_member(learner))
+            return self._register_future(host.name)
 
     def remove(self, name: str) -> Future[None]:
-        """Remove a host; completes once that is committed."""
+        """Remove a host; completes once the change is committed."""
         with self._state.lock:
             membership = self._state.membership
             smaller = membership.without_member(name)
-            problem = self._cannot_change()
+            obstacle = self._change_obstacle()
             if membership.member(name) is None:
-                problem = f'{name} is no member'
-            elif name == self._state.own.name:
-                problem = 'the leader stays; transfer leadership first'
+                obstacle = f'{name} is no member'
+            elif name == self._state.own_host.name:
+                obstacle = 'the leader stays; transfer leadership first'
             elif not smaller.has_quorum(self._peers.answering_voters()):
-                problem = 'the others would have no majority that answers'
-            if problem:
-                return self._refused(problem)
-            self._put(smaller)
-            return self._await(name)
+                obstacle = 'the others would have no majority that answers'
+            if obstacle:
+                return self._refused_future(obstacle)
+            self._append_membership(smaller)
+            return self._register_future(name)
 
     def fail_all(self) -> None:
-        """Fail what waits: leadership is lost; the lock is held."""
-        futures = list(self._awaited_by_name.values())
-        self._awaited_by_name = {}
+        """Fail all futures after the loss of leadership; the lock is held."""
+        futures = list(self._future_by_name.values())
+        self._future_by_name = {}
         error = OutcomeUnknown('leadership was lost', step='change members')
         if futures:
             self._state.run_later(lambda: fail_futures(futures, error))
 
     def _may_change(self) -> bool:
-        """Tell whether the last change, and an own entry, is committed."""
+        """Tell whether the leader may start a change.
+
+        An entry of its own term and the last change must be committed.
+        """
         state = self._state
         return (
             state.is_leader
             and not state.transferring
-            and state.commit >= state.first_led_index
-            and state.commit >= state.window.membership_index
+            and state.commit_index >= state.first_index_of_term
+            and state.commit_index >= state.window.membership_index
         )
 
-    def _cannot_change(self) -> str:
+    def _change_obstacle(self) -> str:
         if not self._state.is_leader:
             return str(self._state.not_leader('change members'))
         if not self._may_change():
             return 'an earlier change is not committed yet'
         return ''
 
-    def _next_step(self, member: Member) -> Member | None:
-        """Return what the member should become, or None."""
+    def _due_change(self, member: Member) -> Member | None:
+        """Return the member after its next change, or None if none is due."""
         peer = self._peers.get(member.name)
         if peer is None or not peer.store:
             return None
         if peer.store != member.store:
-            return self._adopt_store(member, peer)
+            return self._learner_with_new_store(member, peer)
         if member.voter or not self._has_caught_up(peer):
             return None
         return replace(member, voter=True)
 
-    def _adopt_store(self, member: Member, peer: Peer) -> Member | None:
+    def _learner_with_new_store(
+        self, member: Member, peer: Peer
+    ) -> Member | None:
         learner = replace(member, store=peer.store, voter=False)
         smaller = self._state.membership.with_member(learner)
         if smaller.has_quorum(self._peers.answering_voters()):
@@ -129,27 +136,29 @@
     def _has_caught_up(self, peer: Peer) -> bool:
         progress = peer.progress
         return not progress.probing and (
-            progress.durable >= self._state.commit
+            progress.durable_index >= self._state.commit_index
         )
 
-    def _put(self, membership: Membership) -> None:
-        self._state.append_own(EntryKind.MEMBERSHIP, membership.to_bytes())
+    def _append_membership(self, membership: Membership) -> None:
+        self._state.append_as_leader(
+            EntryKind.MEMBERSHIP, membership.to_bytes()
+        )
 
-    def _await(self, name: str) -> Future[None]:
+    def _register_future(self, name: str) -> Future[None]:
         future: Future[None] = Future()
-        self._awaited_by_name[name] = future
+        self._future_by_name[name] = future
         return future
 
-    def _refused(self, reason: str) -> Future[None]:
+    def _refused_future(self, reason: str) -> Future[None]:
         future: Future[None] = Future()
         future.set_exception(
             MembershipChangeRefused(reason, step='change members')
         )
         return future
 
-    def _complete_awaited(self) -> None:
-        for name, future in list(self._awaited_by_name.items()):
+    def _complete_futures(self) -> None:
+        for name, future in list(self._future_by_name.items()):
             member = self._state.membership.member(name)
             if member is None or member.voter:
-                del self._awaited_by_name[name]
+                del self._future_by_name[name]
                 self._state.run_later(partial(future.set_result, None))
--- a/baobabgap/replication/_election.py
+++ b/baobabgap/replication/_election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, votes, check-quorum and handing over."""
+"""Elections: pre-vote, votes, quorum checks, leadership transfer."""
 
 from collections.abc import Callable
 import time
@@ -14,11 +14,13 @@
 
 
 class Election:
-    """Seeks and grants votes; all methods run with the state's lock held.
+    """Requests and grants votes.
 
-    A host first asks whether it would win (pre-vote), without touching
-    its term. Hosts that hear a leader say no. So a host that was cut off
-    for long returns with its old term and disturbs nobody.
+    Before an election a host runs a pre-vote, which does not change its
+    term. Hosts that receive messages from a leader refuse it. Therefore a
+    host that returns after a network partition keeps its old term and
+    does not disrupt the leader. All methods are called with the lock of
+    `GroupState` held.
     """
 
     def __init__(
@@ -37,28 +39,30 @@
         self._pre_vote_term = 0
 
     def tick(self) -> None:
-        """Seek election or give up leadership if it is time."""
+        """Check the quorum as the leader, else the election timer."""
         if self._state.is_leader:
             self._check_quorum()
         elif time.monotonic() >= self._state.election_due_at:
             self._state.postpone_election()
-            self._seek_pre_votes()
+            self._start_pre_vote()
 
-    def seek_at_once(self) -> None:
-        """Seek election without a pre-vote: the leader asked for it."""
-        if self._may_seek():
-            self._seek_votes(transfer=True)
+    def start_without_pre_vote(self) -> None:
+        """Start an election that the leader has requested."""
+        if self._may_start_election():
+            self._start_election(transfer=True)
 
-    def consider(
-        self, request: VoteRequest, answer: Callable[[VoteAnswer], None]
+    def handle_vote_request(
+        self, request: VoteRequest, send_answer: Callable[[VoteAnswer], None]
     ) -> None:
-        """Grant or refuse a vote; a grant is answered once it is synced."""
+        """Grant or refuse a vote; the answer is sent once it is synced."""
         state = self._state
         if request.pre_vote:
-            answer(self._vote_answer(request, self._would_grant(request)))
+            send_answer(
+                self._make_vote_answer(request, self._would_grant(request))
+            )
             return
         if state.leader_is_recent() and not request.transfer:
-            answer(self._vote_answer(request, False))
+            send_answer(self._make_vote_answer(request, False))
             return
         state.adopt_term(request.term)
         granted = (
@@ -68,21 +72,23 @@
         )
         if granted and not state.vote:
             state.vote = request.store
-            state.write_vote()
+            state.schedule_vote_write()
         if granted:
             state.postpone_election()
-        reply = self._vote_answer(request, granted)
+        reply = self._make_vote_answer(request, granted)
         self._writer.after_sync(
-            f'vote {request.term} {request.store}', lambda: answer(reply)
+            f'vote {request.term} {request.store}', lambda: send_answer(reply)
         )
 
-    def take_answer(self, name: str, store: str, answer: VoteAnswer) -> None:
-        """Count an answer; only stores of the membership count."""
+    def handle_vote_answer(
+        self, name: str, store: str, answer: VoteAnswer
+    ) -> None:
+        """Count an answer if its store is a voter in the membership."""
         state = self._state
         if not answer.granted:
             state.adopt_term(answer.term)
             return
-        if not state.membership.counts(name, store):
+        if not state.membership.is_voting_store(name, store):
             return
         if answer.pre_vote:
             if answer.asked_term == self._pre_vote_term:
@@ -93,34 +99,39 @@
             self._count_votes()
 
     def _check_quorum(self) -> None:
-        """Stand down if no majority has answered for too long."""
+        """Step down if no majority answered within the election timeout."""
         state = self._state
         if not state.membership.has_quorum(self._answering_voters()):
-            state.stand_down('no majority answers')
+            state.step_down('no majority answers')
 
-    def _may_seek(self) -> bool:
+    def _may_start_election(self) -> bool:
         state = self._state
         return state.is_voter and state.storage_ok and not state.stopping
 
-    def _seek_pre_votes(self) -> None:
-        if not self._may_seek():
+    def _start_pre_vote(self) -> None:
+        if not self._may_start_election():
             return
         state = self._state
-        state.stand_down('no leader')
+        state.step_down('no leader')
         state.leader = ''
         self._pre_vote_term = state.term + 1
-        self._pre_votes = {state.own.name}
-        self._broadcast(self._request(self._pre_vote_term, True, False))
+        self._pre_votes = {state.own_host.name}
+        self._broadcast(
+            self._make_vote_request(self._pre_vote_term, True, False)
+        )
         self._count_pre_votes()
 
     def _count_pre_votes(self) -> None:
         state = self._state
         if state.is_leader or self._pre_vote_term != state.term + 1:
             return
-        if state.membership.has_quorum(self._pre_votes) and self._may_seek():
-            self._seek_votes(transfer=False)
+        if (
+            state.membership.has_quorum(self._pre_votes)
+            and self._may_start_election()
+        ):
+            self._start_election(transfer=False)
 
-    def _seek_votes(self, transfer: bool) -> None:
+    def _start_election(self, transfer: bool) -> None:
         state = self._state
         state.adopt_term(state.term + 1)
         state.role = GroupRole.CANDIDATE
@@ -130,12 +141,12 @@
         self._votes = set()
         term = state.term
         log_event('election_sought', term=term, transfer=transfer)
-        self._broadcast(self._request(term, False, transfer))
-        self._writer.after_sync('own vote', lambda: self._take_own_vote(term))
+        self._broadcast(self._make_vote_request(term, False, transfer))
+        self._writer.after_sync('own vote', lambda: self._count_own_vote(term))
 
-    def _take_own_vote(self, term: int) -> None:
+    def _count_own_vote(self, term: int) -> None:
         if self._state.term == term:
-            self._votes.add(self._state.own.name)
+            self._votes.add(self._state.own_host.name)
             self._count_votes()
 
     def _count_votes(self) -> None:
@@ -144,7 +155,7 @@
             return
         membership: Membership = state.membership
         if membership.has_quorum(self._votes):
-            state.lead()
+            state.become_leader()
 
     def _would_grant(self, request: VoteRequest) -> bool:
         state = self._state
@@ -157,7 +168,7 @@
         own = (window.last_term, window.last_index)
         return (request.last_term, request.last_index) >= own
 
-    def _request(
+    def _make_vote_request(
         self, term: int, pre_vote: bool, transfer: bool
     ) -> VoteRequest:
         window = self._state.window
@@ -171,7 +182,9 @@
             transfer=transfer,
         )
 
-    def _vote_answer(self, request: VoteRequest, granted: bool) -> VoteAnswer:
+    def _make_vote_answer(
+        self, request: VoteRequest, granted: bool
+    ) -> VoteAnswer:
         return VoteAnswer(
             asked_term=request.term,
             term=self._state.term,
--- a/baobabgap/replication/_entry.py
+++ b/baobabgap/replication/_entry.py
@@ -1,4 +1,4 @@
-"""The entries of the log and their one encoding, on disk and on links."""
+"""Log entries and their encoding, which disk and network share."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -11,13 +11,13 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry carries."""
+    """The kind of content that an entry carries."""
 
     # A command for the state machine.
     COMMAND = 0
-    # The encoded membership that is in force from this entry on.
+    # An encoded membership, in force from this entry on.
     MEMBERSHIP = 1
-    # Nothing: a new leader appends one to learn what is committed.
+    # No content: a new leader appends one to find the commit index.
     NO_OPERATION = 2
 
 
@@ -25,23 +25,23 @@
 class Entry:
     """One entry of the log."""
 
-    # Its position; the first entry has index 1.
+    # The position in the log; the first entry has index 1.
     index: int
     # The term of the leader that appended it.
     term: int
-    # What it carries.
+    # The kind of content in `data`.
     kind: EntryKind
-    # The command or the membership as bytes.
+    # The command, or the encoded membership.
     data: bytes
 
     @property
     def encoded_bytes(self) -> int:
-        """How long its encoding is."""
+        """The size of the encoded entry."""
         return _HEADER.size + len(self.data)
 
 
 def encode_entries(entries: Iterable[Entry]) -> bytes:
-    """Pack entries one after the other."""
+    """Encode entries one after the other."""
     parts: list[bytes] = []
     for entry in entries:
         parts.append(
@@ -52,14 +52,14 @@
 
 
 def decode_entries(blob: bytes) -> Iterator[Entry]:
-    """Unpack what `encode_entries` packed; raise `ValueError` if not."""
+    """Decode the output of `encode_entries`; raise `ValueError`."""
     offset = 0
     while offset < len(blob):
         if offset + _HEADER.size > len(blob):
-            raise ValueError('an entry header is cut short')
+            raise ValueError('an entry header is truncated')
         index, term, kind, length = _HEADER.unpack_from(blob, offset)
         start = offset + _HEADER.size
         offset = start + length
         if offset > len(blob):
-            raise ValueError(f'entry {index} is cut short')
+            raise ValueError(f'entry {index} is truncated')
         yield Entry(index, term, EntryKind(kind), blob[start:offset])
--- a/baobabgap/replication/_errors.py
+++ b/baobabgap/replication/_errors.py
@@ -1,13 +1,13 @@
-"""How a proposal or the storage can fail."""
+"""Errors of proposals, membership changes and storage."""
 
 from baobabgap._exceptions import BaobabgapError
 from baobabgap.settings import ControlHost
 
 
 class NotLeader(BaobabgapError):
-    """The request certainly changed nothing: this host does not lead.
+    """This host is not the leader; the request changed nothing.
 
-    `leader` is the host that leads as far as is known here, or None.
+    `leader` is the leader known to this host, or None.
     """
 
     def __init__(self, step: str, leader: ControlHost | None) -> None:
@@ -21,15 +21,15 @@
 
 
 class OutcomeUnknown(BaobabgapError):
-    """The command may or may not be committed, now or later."""
+    """The command may be committed already, later or never."""
 
 
 class MembershipChangeRefused(BaobabgapError):
-    """The change of members was not begun; nothing has changed."""
+    """The membership change was not started; nothing has changed."""
 
 
 class StorageUnavailable(BaobabgapError):
-    """The disk refused a write or a sync; nothing was acknowledged."""
+    """A write or a sync failed; nothing was acknowledged."""
 
 
 class DataFolderInUse(BaobabgapError):
@@ -37,11 +37,11 @@
 
 
 class DamagedLog(BaobabgapError):
-    """Stored bytes that are not what was once synced.
+    """Stored bytes differ from those that were synced.
 
-    Names the file and the offset of the first byte that is wrong. The
-    host must not start with what is left, since it may have
-    acknowledged what is gone.
+    `file` and `offset` locate the first invalid byte. The host must not
+    start with the remaining data, since it may have acknowledged entries
+    that are lost.
     """
 
     def __init__(self, file: str, offset: int, reason: str) -> None:
--- a/baobabgap/replication/_folder.py
+++ b/baobabgap/replication/_folder.py
@@ -1,6 +1,6 @@
-"""The data folder: the narrow seam between the storage and the disk.
+"""The data folder: the interface between the storage and the disk.
 
-Tests put a folder with faults in place of `DiskFolder`.
+Tests replace `DiskFolder` with a folder that injects faults.
 """
 
 import fcntl
@@ -16,47 +16,47 @@
 
 
 class AppendFile(Protocol):
-    """A file that only grows, but for cutting its end."""
+    """A file that can only be appended to and truncated."""
 
     def append(self, data: bytes) -> None:
-        """Write at the end; raise `OSError` if not all was written."""
+        """Append all of `data`, or raise `OSError`."""
 
     def sync(self) -> None:
-        """Return once all that was written survives a loss of power."""
+        """Return once all appended data survives a power loss."""
 
     def truncate(self, size: int) -> None:
-        """Cut the file to `size` bytes."""
+        """Truncate the file to `size` bytes."""
 
     def close(self) -> None:
-        """Release the file."""
+        """Close the file."""
 
 
 class DataFolder(Protocol):
-    """The one folder that a host keeps its durable state in."""
+    """The folder that holds the durable state of one host."""
 
     def lock(self) -> None:
-        """Keep other processes out; raise `DataFolderInUse`."""
+        """Lock out other processes; raise `DataFolderInUse`."""
 
     def path_of(self, name: str) -> str:
-        """Return the path of a file, for people."""
+        """Return the path of a file, for error messages."""
 
     def names(self) -> list[str]:
-        """Return the names of the files, without the lock."""
+        """Return the names of all files except the lock file."""
 
     def read(self, name: str) -> bytes:
         """Return the content of a file."""
 
     def open_append(self, name: str) -> AppendFile:
-        """Open a file for appending; create it if there is none."""
+        """Open a file for appending; create it if it is missing."""
 
     def replace(self, temporary_name: str, name: str) -> None:
-        """Rename durably, over an existing file if there is one."""
+        """Rename durably, replacing an existing file."""
 
     def remove(self, name: str) -> None:
-        """Remove a file if there is one."""
+        """Remove a file if it exists."""
 
     def used_bytes(self) -> int:
-        """Return the size of all files together."""
+        """Return the total size of all files."""
 
     def close(self) -> None:
         """Release the lock."""
@@ -71,20 +71,20 @@
         self._added_sync_delay_s = added_sync_delay_s
 
     def append(self, data: bytes) -> None:
-        """Write at the end, in several pieces if need be."""
+        """Append all of `data`, also after partial writes."""
         rest = memoryview(data)
         while rest:
             written = os.write(self._descriptor, rest)
             rest = rest[written:]
 
     def sync(self) -> None:
-        """Sync data and size, after the added delay."""
+        """Sync data and file size, after the configured delay."""
         if self._added_sync_delay_s > 0:
             time.sleep(self._added_sync_delay_s)
         os.fdatasync(self._descriptor)
 
     def truncate(self, size: int) -> None:
-        """Cut the file."""
+        """Truncate the file to `size` bytes."""
         os.ftruncate(self._descriptor, size)
 
     def close(self) -> None:
@@ -93,7 +93,7 @@
 
 
 class DiskFolder:
-    """A folder on the disk, held by a lock that dies with the process."""
+    """A folder on disk; its lock is released when the process ends."""
 
     def __init__(self, path: str, added_sync_delay_s: float = 0.0) -> None:
         self._path: Final = Path(path)
@@ -101,7 +101,7 @@
         self._lock_descriptor = -1
 
     def lock(self) -> None:
-        """Create the folder if need be and lock it."""
+        """Create the folder if it is missing, and lock it."""
         self._path.mkdir(parents=True, exist_ok=True)
         descriptor = os.open(
             self._path / _LOCK_NAME,
@@ -123,7 +123,7 @@
         return str(self._path / name)
 
     def names(self) -> list[str]:
-        """Return the names of the files, without the lock."""
+        """Return the names of all files except the lock file."""
         return sorted(
             path.name
             for path in self._path.iterdir()
@@ -139,7 +139,7 @@
         return DiskFile(self._path / name, self._added_sync_delay_s)
 
     def replace(self, temporary_name: str, name: str) -> None:
-        """Rename, then sync the folder so that the name survives."""
+        """Rename, then sync the folder to make the new name durable."""
         os.replace(self._path / temporary_name, self._path / name)
         descriptor = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY)
         try:
@@ -148,11 +148,11 @@
             os.close(descriptor)
 
     def remove(self, name: str) -> None:
-        """Remove a file if there is one."""
+        """Remove a file if it exists."""
         (self._path / name).unlink(missing_ok=True)
 
     def used_bytes(self) -> int:
-        """Return the size of all files together."""
+        """Return the total size of all files."""
         return sum(
             path.stat().st_size
             for path in self._path.iterdir()
--- a/baobabgap/replication/_founding.py
+++ b/baobabgap/replication/_founding.py
@@ -1,4 +1,4 @@
-"""Founding a group, once, from hosts that are all empty."""
+"""Founding a group, once, from hosts with empty data folders."""
 
 import os
 from typing import Final
@@ -18,13 +18,14 @@
 
 
 class Founding:
-    """Lets one host found the group, if that can't shadow an older one.
+    """Lets one host found the group, unless an older group may exist.
 
-    The first of the configured hosts founds the group, and only while
-    it is empty itself, every other host answers that it is empty too,
-    and all name the same hosts. So a first host that lost its disk can't
-    found a second group while any host that remembers the first one is
-    there, nor while any host does not answer.
+    The first of the configured hosts founds the group. It does so only if
+    its own store is empty, every other host answers that its store is
+    empty too, and all hosts are configured with the same hosts. Therefore
+    a first host that lost its disk can't found a second group while any
+    host that belongs to the first one is present, nor while any host does
+    not answer.
     """
 
     def __init__(
@@ -41,27 +42,30 @@
         self._last_obstacle = ''
 
     def introduce(self) -> Introduce:
-        """Say which store this host keeps and which group it knows."""
+        """Return the introduction of this host, with its store and group."""
         return Introduce(
-            name=self._state.own.name,
+            name=self._state.own_host.name,
             store=self._state.store,
             group=self._state.membership.group,
             configured=self._configured_texts(),
         )
 
     def tick(self) -> None:
-        """Found the group if it is time; the lock is held."""
+        """Found the group if possible; the lock is held."""
         state = self._state
         if state.membership.group or state.window.last_index:
             return
-        if not self._may_found or self._configured[0].name != state.own.name:
+        if (
+            not self._may_found
+            or self._configured[0].name != state.own_host.name
+        ):
             return
         obstacle = self._find_obstacle()
         if obstacle != self._last_obstacle:
             self._last_obstacle = obstacle
             log_event('founding_waits', reason=obstacle)
         if not obstacle:
-            self._found()
+            self._found_group()
 
     def _configured_texts(self) -> tuple[str, ...]:
         return tuple(
@@ -69,21 +73,21 @@
         )
 
     def _find_obstacle(self) -> str:
-        """Return why the group can't be founded now, or an empty text."""
+        """Return why the group can't be founded now, or an empty string."""
         if not self._state.storage_ok:
             return 'the own disk refuses writes'
         for host in self._configured[1:]:
             peer = self._peers.get(host.name)
-            introduced = peer.introduced if peer is not None else None
-            if introduced is None:
+            introduction = peer.introduction if peer is not None else None
+            if introduction is None:
                 return f'{host.name} does not answer'
-            if introduced.group:
+            if introduction.group:
                 return f'{host.name} belongs to a group already'
-            if introduced.configured != self._configured_texts():
+            if introduction.configured != self._configured_texts():
                 return f'{host.name} names other control hosts'
         return ''
 
-    def _found(self) -> None:
+    def _found_group(self) -> None:
         state = self._state
         membership = Membership(
             os.urandom(_GROUP_BYTES).hex(),
--- a/baobabgap/replication/_handover.py
+++ b/baobabgap/replication/_leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Moving leadership to another host on purpose."""
+"""Planned transfer of leadership to another host."""
 
 import time
 from typing import Final
@@ -8,14 +8,14 @@
 from baobabgap.replication._peers import Peers
 from baobabgap.replication._state import GroupState
 
-_CHECK_PAUSE_S: Final = 0.005
+_POLL_INTERVAL_S: Final = 0.005
 _ELECTION_TIMEOUTS_TO_WAIT: Final = 2.0
 
 
-class Handover:
-    """Has the peer that is furthest seek election at once.
+class LeadershipTransfer:
+    """Has the most up-to-date peer start an election immediately.
 
-    Meanwhile this host refuses proposals, so that the peer can catch up.
+    This host refuses proposals meanwhile, so that the peer can catch up.
     """
 
     def __init__(self, state: GroupState, peers: Peers) -> None:
@@ -23,37 +23,39 @@
         self._peers: Final = peers
 
     def run(self) -> bool:
-        """Hand over; tell whether another host has taken leadership."""
+        """Transfer leadership; tell whether another host has become leader."""
         state = self._state
         with state.lock:
-            target = self._furthest_peer()
+            target = self._most_up_to_date_peer()
             if not state.is_leader or target is None:
                 return False
             state.transferring = True
         limit_s = _ELECTION_TIMEOUTS_TO_WAIT * state.election_timeout_s
-        give_up_at = time.monotonic() + limit_s
-        asked = False
-        while time.monotonic() < give_up_at:
+        deadline = time.monotonic() + limit_s
+        requested = False
+        while time.monotonic() < deadline:
             with state.lock:
                 if not state.is_leader and state.leader:
                     return True
-                if not asked:
-                    asked = self._ask(target)
-            time.sleep(_CHECK_PAUSE_S)
+                if not requested:
+                    requested = self._request_election(target)
+            time.sleep(_POLL_INTERVAL_S)
         with state.lock:
             state.transferring = False
         return False
 
-    def _ask(self, target: Peer) -> bool:
-        """Ask the peer once it has all entries; tell whether asked."""
+    def _request_election(self, target: Peer) -> bool:
+        """Request an election if the peer has all entries; tell if so."""
         state = self._state
         if not state.is_leader:
             return False
-        if target.progress.durable < state.window.last_index:
+        if target.progress.durable_index < state.window.last_index:
             return False
         target.send(SeekElection(state.term))
         return True
 
-    def _furthest_peer(self) -> Peer | None:
-        peers = [peer for peer in self._peers if peer.counts]
-        return max(peers, key=lambda peer: peer.progress.durable, default=None)
+    def _most_up_to_date_peer(self) -> Peer | None:
+        peers = [peer for peer in self._peers if peer.is_voting]
+        return max(
+            peers, key=lambda peer: peer.progress.durable_index, default=None
+        )
--- a/baobabgap/replication/_limits.py
+++ b/baobabgap/replication/_limits.py
@@ -1,23 +1,26 @@
-"""Sizes that bound memory, disk and messages."""
+"""Size limits for memory, disk and messages."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class LogLimits:
-    """When to compact, and how much to send at once."""
+    """Limits for log compaction and for replication traffic."""
 
-    # Bytes of applied entries after which a snapshot is due; at least as
-    # many as the last snapshot had, so that its cost stays in proportion.
+    # A snapshot is due after this many bytes of applied entries, or after
+    # the size of the last snapshot if that is larger, so that the cost of
+    # snapshots stays proportional to that of entries.
     snapshot_after_bytes: int = 16 * 1024 * 1024
     # Bytes of entries before the snapshot that stay in memory, so that a
-    # host that was away for a moment needs no snapshot.
+    # host that was disconnected briefly needs no snapshot.
     kept_bytes: int = 4 * 1024 * 1024
-    # The most entries in one message, unless one entry is larger.
+    # Largest size of the entries in one message, unless a single entry
+    # is larger.
     message_bytes: int = 256 * 1024
-    # The most that is sent to a peer and not yet durable there.
+    # Most bytes of entries sent to a peer and not yet acknowledged as
+    # durable.
     unacknowledged_bytes: int = 4 * 1024 * 1024
-    # The most messages that a peer gets before it has answered.
+    # Most messages with entries sent to a peer and not yet acknowledged.
     unacknowledged_messages: int = 1
-    # The size of one piece of a snapshot.
+    # The size of one part of a snapshot.
     snapshot_part_bytes: int = 512 * 1024
--- a/baobabgap/replication/_log.py
+++ b/baobabgap/replication/_log.py
@@ -1,4 +1,4 @@
-"""The replicated log: what the control process builds on."""
+"""The replicated log, the public interface of this package."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -15,7 +15,7 @@
 from baobabgap.replication._errors import StorageUnavailable
 from baobabgap.replication._folder import DataFolder
 from baobabgap.replication._folder import DiskFolder
-from baobabgap.replication._handover import Handover
+from baobabgap.replication._leadership_transfer import LeadershipTransfer
 from baobabgap.replication._limits import LogLimits
 from baobabgap.replication._machine import StateMachine
 from baobabgap.replication._parts import LogParts
@@ -28,15 +28,15 @@
 from baobabgap.telemetry import log_event
 from baobabgap.transport import Connection
 
-_TICKS_IN_ELECTION_TIMEOUT: Final = 10
-_STOP_LIMIT_S: Final = 5.0
+_TICKS_PER_ELECTION_TIMEOUT: Final = 10
+_STOP_TIMEOUT_S: Final = 5.0
 
 
 class ReplicatedLog:
-    """A log of commands that a majority of the control hosts keeps.
+    """A log of commands that is replicated among the control hosts.
 
-    The process that owns the listener hands links of control hosts to
-    `serve`; everything else is done by tasks of the pool::
+    The process that owns the listener passes links from control hosts to
+    `serve`; all other work runs in tasks of the pool::
 
         log = ReplicatedLog.from_settings(settings, '1', machine, pool)
         log.start()
@@ -54,11 +54,11 @@
         self._election: Final = parts.election
         self._founding: Final = parts.founding
         self._changes: Final = MembershipChanges(self._state, self._peers)
-        self._handover: Final = Handover(self._state, self._peers)
+        self._transfer: Final = LeadershipTransfer(self._state, self._peers)
         self._tasks: list[Future[None]] = []
-        self._sessions: set[Connection] = set()
-        self._ended = threading.Event()
-        self._state.on_stand_down = self._fail_waiting
+        self._session_connections: set[Connection] = set()
+        self._stopped = threading.Event()
+        self._state.on_step_down = self._fail_pending_requests
 
     @classmethod
     def from_settings(
@@ -68,7 +68,7 @@
         machine: StateMachine,
         pool: Executor,
     ) -> 'ReplicatedLog':
-        """Open the data folder that the settings name.
+        """Open the data folder named in the settings.
 
         Raises `DataFolderInUse`, `DamagedLog` or `StorageUnavailable`.
         """
@@ -90,14 +90,14 @@
         folder: DataFolder,
         limits: LogLimits,
     ) -> 'ReplicatedLog':
-        """Open any sort of data folder; see `from_settings`."""
+        """Open any `DataFolder`; see `from_settings`."""
         parts = LogParts.build(
             settings, incarnation, machine, pool, folder, limits
         )
         return cls(parts, pool)
 
     def start(self) -> None:
-        """Take part in the group."""
+        """Start the tasks of this host."""
         self._tasks = [
             self._pool.submit(self._run_task, 'writer', self._writer.run),
             self._pool.submit(self._run_task, 'applier', self._applier.run),
@@ -107,35 +107,36 @@
         ]
 
     def stop(self) -> None:
-        """Move leadership away, then stop and close the storage."""
-        if self._ended.is_set():
+        """Transfer leadership, then stop and close the storage."""
+        if self._stopped.is_set():
             return
         self.transfer_leadership()
         state = self._state
         with state.lock:
             state.stopping = True
-            state.stand_down('stopped')
+            state.step_down('stopped')
             state.writer_work.notify_all()
             state.applier_work.notify_all()
             self._peers.stop()
-            sessions = list(self._sessions)
-        for connection in sessions:
+            connections = list(self._session_connections)
+        for connection in connections:
             connection.close()
-        self._ended.set()
-        wait(self._tasks, timeout=_STOP_LIMIT_S)
-        self._fail_leftovers()
+        self._stopped.set()
+        wait(self._tasks, timeout=_STOP_TIMEOUT_S)
+        self._fail_remaining()
         self._close_storage()
 
     def propose(self, command: bytes) -> Future[Any]:
-        """Have a command committed; the future brings what apply returns.
+        """Propose a command; the future returns the result of applying it.
 
-        Fails with `NotLeader` (certainly unchanged) or `OutcomeUnknown`.
+        Fails with `NotLeader`, in which case nothing has changed, or with
+        `OutcomeUnknown`.
         """
         future: Future[Any] = Future()
         state = self._state
         with state.lock:
             if state.is_leader and not state.transferring:
-                entry = state.append_own(EntryKind.COMMAND, command)
+                entry = state.append_as_leader(EntryKind.COMMAND, command)
                 state.future_by_index[entry.index] = future
                 return future
             error = state.not_leader('propose')
@@ -143,15 +144,15 @@
         return future
 
     def read_barrier(self) -> Future[int]:
-        """Complete once reads of the machine are linearizable.
+        """Complete once reads of the state machine are linearizable.
 
-        The result is the last index applied by then. Fails with
+        The result is the last index applied at that time. Fails with
         `NotLeader`.
         """
         return self._reads.begin()
 
     def serve(self, connection: Connection) -> None:
-        """Run the session of a link that a control host has dialled."""
+        """Serve a link from another control host until it closes."""
         session = PeerSession(
             connection,
             self._state,
@@ -164,21 +165,21 @@
         with self._state.lock:
             if self._state.stopping:
                 return
-            self._sessions.add(connection)
+            self._session_connections.add(connection)
         try:
             session.run()
         finally:
             with self._state.lock:
-                self._sessions.discard(connection)
+                self._session_connections.discard(connection)
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this host leads as far as it knows."""
+        """Whether this host considers itself the leader."""
         return self._state.is_leader
 
     @property
     def leading_term(self) -> int | None:
-        """The term that this host leads in, or None if it follows."""
+        """The term in which this host accepts proposals, or None."""
         with self._state.lock:
             if not self._state.is_leader or self._state.transferring:
                 return None
@@ -186,24 +187,24 @@
 
     @property
     def leader(self) -> ControlHost | None:
-        """The leader as far as known here."""
+        """The leader known to this host, or None."""
         with self._state.lock:
             return self._state.leader_host
 
     @property
     def recent_leader(self) -> ControlHost | None:
-        """The leader, if it was heard of within an election timeout."""
+        """The leader, if it sent a message within the election timeout."""
         with self._state.lock:
             if not self._state.leader_is_recent():
                 return None
             return self._state.leader_host
 
     def status(self) -> LogStatus:
-        """Describe this moment."""
+        """Return the current status."""
         return read_status(self._state, self._peers, self._storage)
 
     def silence_s_by_member(self) -> dict[str, float]:
-        """Return the seconds since each other member last answered."""
+        """Return the seconds since the last answer of each other member."""
         now = time.monotonic()
         with self._state.lock:
             return {
@@ -212,32 +213,32 @@
             }
 
     def transfer_leadership(self) -> bool:
-        """Hand leadership to the peer that is furthest.
+        """Transfer leadership to the most up-to-date peer.
 
-        Tells whether another host has taken it.
+        Tells whether another host has become the leader.
         """
-        return self._handover.run()
+        return self._transfer.run()
 
     def add_member(self, host: ControlHost) -> Future[None]:
-        """Add one host; completes once it counts toward the quorum.
+        """Add one host; completes once it is a voter.
 
         Fails with `MembershipChangeRefused` or `OutcomeUnknown`.
         """
         return self._changes.add(host)
 
     def remove_member(self, name: str) -> Future[None]:
-        """Remove one host; completes once that is committed.
+        """Remove one host; completes once the change is committed.
 
         Fails with `MembershipChangeRefused` or `OutcomeUnknown`.
         """
         return self._changes.remove(name)
 
-    def _fail_waiting(self) -> None:
+    def _fail_pending_requests(self) -> None:
         self._reads.fail_all()
         self._changes.fail_all()
 
     def _run_task(self, name: str, run: Callable[[], None]) -> None:
-        """Run a task; if it fails this host takes no further part."""
+        """Run a task; if it fails, this host stops participating."""
         try:
             run()
         except Exception as error:
@@ -246,13 +247,15 @@
             with state.lock:
                 state.stopping = True
                 state.storage_ok = False
-                state.stand_down(f'{name} failed')
+                state.step_down(f'{name} failed')
                 state.writer_work.notify_all()
                 state.applier_work.notify_all()
 
     def _tick_until_stopped(self) -> None:
-        pause_s = self._state.election_timeout_s / _TICKS_IN_ELECTION_TIMEOUT
-        while not self._ended.wait(pause_s):
+        interval_s = (
+            self._state.election_timeout_s / _TICKS_PER_ELECTION_TIMEOUT
+        )
+        while not self._stopped.wait(interval_s):
             with self._state.lock:
                 if self._state.stopping:
                     return
@@ -261,18 +264,18 @@
                 self._election.tick()
                 self._changes.tick()
 
-    def _fail_leftovers(self) -> None:
+    def _fail_remaining(self) -> None:
         with self._state.lock:
             futures = list(self._state.future_by_index.values())
             self._state.future_by_index = {}
-            self._fail_waiting()
+            self._fail_pending_requests()
         error = OutcomeUnknown('this host stopped', step='replicate')
         fail_futures(futures, error)
 
     def _close_storage(self) -> None:
         try:
-            # An empty record after the last entry lets the next start
-            # tell damage to that entry from a torn write.
+            # With an empty record after the last entry, the next startup
+            # can tell damage to that entry from a torn write.
             self._storage.append(self._state.term, self._state.vote, ())
         except StorageUnavailable:
             pass
--- a/baobabgap/replication/_membership.py
+++ b/baobabgap/replication/_membership.py
@@ -1,4 +1,4 @@
-"""Who belongs to the group, and whose word counts toward a quorum."""
+"""The members of the group and the quorum of its voters."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -15,20 +15,20 @@
 
     # The host's name from its settings.
     name: str
-    # The IP number that it listens on.
+    # The IP address that it listens on.
     host: str
     # The port for internal links.
     port: int
-    # The identity of the data folder that counts; empty if none does yet.
+    # The identity of its data folder; empty if not known yet.
     store: str
-    # Whether it counts toward a quorum; if not it only follows.
+    # Whether it counts toward a quorum; otherwise it is a learner.
     voter: bool
 
     @classmethod
     def from_control_host(
         cls, control_host: ControlHost, store: str, voter: bool
     ) -> 'Member':
-        """Take the address from the settings."""
+        """Make a member from a control host of the settings."""
         return cls(
             control_host.name,
             control_host.host,
@@ -39,38 +39,39 @@
 
     @property
     def control_host(self) -> ControlHost:
-        """The name and the address as the settings write them."""
+        """The name and the address, in the form of the settings."""
         return ControlHost(self.name, self.host, self.port)
 
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """The members from one entry of the log on.
+    """The members of the group, in force from one log entry on.
 
-    The stores of the voters of two successive memberships differ by one
-    at most, so that any two majorities of them share a store.
+    The voters' stores in two successive memberships differ by at most
+    one, so that any majority of one and any majority of the other share
+    a store.
     """
 
-    # Random, drawn when the group was founded; empty before that.
+    # The random identifier of the group; empty until it is founded.
     group: str
     # All members.
     members: tuple[Member, ...]
 
     @classmethod
     def empty(cls) -> 'Membership':
-        """Return what a host with an empty data folder knows."""
+        """Return the membership of a host with an empty data folder."""
         return cls('', ())
 
     @classmethod
     def from_bytes(cls, data: bytes) -> 'Membership':
-        """Unpack what `to_bytes` packed."""
+        """Decode the output of `to_bytes`."""
         if not data:
             return cls.empty()
         group, members = cbor2.loads(data)
         return cls(group, tuple(Member(*fields) for fields in members))
 
     def to_bytes(self) -> bytes:
-        """Pack for an entry or a snapshot."""
+        """Encode for an entry or a snapshot."""
         if not self.group:
             return b''
         fields = [
@@ -86,17 +87,17 @@
         return cbor2.dumps([self.group, fields])
 
     def member(self, name: str) -> Member | None:
-        """Return the member of that name."""
+        """Return the member with this name, or None."""
         for member in self.members:
             if member.name == name:
                 return member
         return None
 
-    def counts(self, name: str, store: str) -> bool:
+    def is_voting_store(self, name: str, store: str) -> bool:
         """Tell whether this store of this host counts toward a quorum.
 
-        A host that lost its disk comes back with another store. It must
-        not count as if it remembered its votes and entries.
+        A host that lost its disk returns with a new store. It must not
+        count, since it has lost its votes and entries.
         """
         member = self.member(name)
         if member is None or not member.voter:
@@ -110,23 +111,23 @@
 
     @property
     def quorum(self) -> int:
-        """How many voters are a majority."""
+        """The number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def has_quorum(self, names: Collection[str]) -> bool:
-        """Tell whether the named voters are a majority."""
+        """Tell whether the named voters form a majority."""
         count = sum(1 for member in self.voters if member.name in names)
         return count >= self.quorum
 
     def with_member(self, changed: Member) -> 'Membership':
-        """Return a membership with one member added or replaced."""
+        """Return a copy with one member added or replaced."""
         others = tuple(
             member for member in self.members if member.name != changed.name
         )
         return replace(self, members=(*others, changed))
 
     def without_member(self, name: str) -> 'Membership':
-        """Return a membership without one member."""
+        """Return a copy without one member."""
         others = tuple(
             member for member in self.members if member.name != name
         )
--- a/baobabgap/replication/_messages.py
+++ b/baobabgap/replication/_messages.py
@@ -1,8 +1,8 @@
-"""Messages between control hosts, all on the link that one has dialled.
+"""Messages between control hosts.
 
-The dialling host sends requests, the other one answers on the same link.
-Entries travel as one opaque blob, so that their number costs nothing in
-the codec.
+The host that opened a link sends requests; the other host answers on the
+same link. Entries are sent as one opaque blob, so that the cost of the
+message codec does not depend on their number.
 """
 
 from dataclasses import dataclass
@@ -12,35 +12,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Introduce:
-    """Sent by both sides first: which store the sender keeps."""
+    """The first message of both sides; identifies the sender's store."""
 
     # The sender's name.
     name: str
     # The identity of the sender's data folder.
     store: str
-    # The group that the sender belongs to; empty if it remembers none.
+    # The group that the sender belongs to; empty if it has none.
     group: str
-    # The control hosts of the sender's settings, as name=host:port.
+    # The control hosts in the sender's settings, as name=host:port.
     configured: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """A candidate asks for a vote, or whether it would get one."""
+    """A candidate requests a vote or, with `pre_vote`, a pre-vote."""
 
     # The group of the candidate.
     group: str
-    # The term that the candidate leads if it wins.
+    # The term in which the candidate leads if it wins.
     term: int
     # The store of the candidate.
     store: str
-    # The candidate's last index.
+    # The index of the candidate's last entry.
     last_index: int
     # The term of that entry.
     last_term: int
-    # Whether this is only the question, which binds nobody.
+    # Whether this is a pre-vote, which does not bind the voter.
     pre_vote: bool
-    # Whether the leader itself asked for this election.
+    # Whether the leader requested this election.
     transfer: bool
 
 
@@ -48,11 +48,11 @@
 class VoteAnswer:
     """The answer to `VoteRequest`."""
 
-    # The term that was asked for.
+    # The term in the request.
     asked_term: int
-    # The sender's own term.
+    # The sender's current term.
     term: int
-    # Whether the candidate has the vote.
+    # Whether the vote is granted.
     granted: bool
     # Copied from the request.
     pre_vote: bool
@@ -60,9 +60,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntries:
-    """Entries that follow on one that the receiver should have.
+    """Entries that follow one that the receiver should have.
 
-    Without entries it is a heartbeat.
+    A message without entries is a heartbeat.
     """
 
     # The group of the leader.
@@ -77,30 +77,30 @@
     previous_term: int
     # The leader's commit index.
     commit: int
-    # The latest read round; 0 if this message confirms none.
+    # The latest read round to confirm, or 0 for none.
     read_round: int
-    # Packed by `encode_entries`.
+    # The output of `encode_entries`.
     entries: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AppendAnswer:
-    """What the receiver holds durably, as far as it agrees."""
+    """How far the receiver's durable log matches the leader's."""
 
     # The sender's term.
     term: int
     # Whether the receiver had the entry before the first one sent.
     accepted: bool
-    # If accepted, the last durable index that agrees with the leader's
-    # log; else the last index at which the logs may agree.
+    # If accepted, the last durable index that matches the leader's log;
+    # otherwise the last index at which the logs may match.
     index: int
-    # Copied from the message that is answered.
+    # Copied from the request.
     read_round: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotPart:
-    """One piece of a snapshot for a host that is far behind."""
+    """One part of a snapshot for a host that lacks compacted entries."""
 
     # The group of the leader.
     group: str
@@ -114,31 +114,31 @@
     index_term: int
     # The encoded membership at that entry.
     membership: bytes
-    # Where in the state this piece belongs.
+    # The offset of this part in the state, in bytes.
     offset: int
-    # The size of the whole state.
+    # The size of the whole state, in bytes.
     state_bytes: int
-    # The piece.
+    # The bytes of this part.
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotAnswer:
-    """The receiver has taken a piece."""
+    """The answer to `SnapshotPart`."""
 
     # The sender's term.
     term: int
     # The last index that the snapshot covers.
     index: int
-    # How many bytes it has in order.
+    # The number of consecutive bytes received so far.
     received_bytes: int
-    # Whether the whole snapshot is in force and durable.
+    # Whether the whole snapshot is installed and durable.
     installed: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SeekElection:
-    """The leader asks the receiver to take over at once."""
+    """The leader asks the receiver to start an election immediately."""
 
     # The leader's term.
     term: int
--- a/baobabgap/replication/_outgoing.py
+++ b/baobabgap/replication/_outgoing_messages.py
@@ -1,4 +1,4 @@
-"""What a leader sends next to one peer."""
+"""Selects the next message from a leader to one peer."""
 
 import time
 from typing import Final
@@ -11,80 +11,81 @@
 from baobabgap.replication._progress import Progress
 from baobabgap.replication._state import GroupState
 
-_HEARTBEATS_IN_ELECTION_TIMEOUT: Final = 4
-_IDLE_CHECK_S: Final = 1.0
-_COMMIT_DELAY_S: Final = 0.1
+_HEARTBEATS_PER_ELECTION_TIMEOUT: Final = 4
+_IDLE_POLL_INTERVAL_S: Final = 1.0
+_COMMIT_UPDATE_DELAY_S: Final = 0.1
 _SHORTEST_PAUSE_S: Final = 0.001
 
 
 class EntryBatch:
-    """Entries chosen with the lock held, and encoded without it."""
+    """Entries that are selected under the lock and encoded without it."""
 
-    def __init__(self, head: AppendEntries, entries: list[Entry]) -> None:
-        self._head = head
+    def __init__(self, header: AppendEntries, entries: list[Entry]) -> None:
+        self._header = header
         self._entries = entries
 
     def as_message(self) -> AppendEntries:
-        """Encode the entries into the message."""
-        head = self._head
+        """Encode the entries and return the complete message."""
+        header = self._header
         return AppendEntries(
-            group=head.group,
-            term=head.term,
-            leader=head.leader,
-            previous_index=head.previous_index,
-            previous_term=head.previous_term,
-            commit=head.commit,
-            read_round=head.read_round,
+            group=header.group,
+            term=header.term,
+            leader=header.leader,
+            previous_index=header.previous_index,
+            previous_term=header.previous_term,
+            commit=header.commit,
+            read_round=header.read_round,
             entries=encode_entries(self._entries),
         )
 
 
-class Outgoing:
-    """Chooses messages for one peer, by its progress.
+class OutgoingMessages:
+    """Selects messages for one peer, according to its progress.
 
-    All methods run with the state's lock held; they send nothing.
+    All methods are called with the lock of `GroupState` held. They return
+    messages and send none.
     """
 
     def __init__(self, state: GroupState, limits: LogLimits) -> None:
         self.progress = Progress(1, 0.0)
-        # The latest read round that is to be confirmed.
+        # The latest read round that the peer is to confirm.
         self.read_round = 0
         self._state: Final = state
         self._limits: Final = limits
         self._heartbeat_s: Final = (
-            state.election_timeout_s / _HEARTBEATS_IN_ELECTION_TIMEOUT
+            state.election_timeout_s / _HEARTBEATS_PER_ELECTION_TIMEOUT
         )
 
     def needs_snapshot(self) -> bool:
-        """Tell whether entries that the peer lacks are gone here."""
+        """Tell whether entries that the peer lacks have been compacted."""
         if not self._state.is_leader or self.progress.snapshot:
             return False
         previous = self.progress.next_index - 1
         return previous < self._state.window.compacted_index
 
-    def pause_s(self) -> float:
-        """Return the seconds until something is due anyway."""
+    def due_in_s(self) -> float:
+        """Return the seconds until a commit index or heartbeat is due."""
         progress = self.progress
-        if progress.snapshot is not None and progress.awaiting:
-            return _IDLE_CHECK_S
-        if progress.sent_commit < self._state.commit:
-            due_at = progress.sent_at + _COMMIT_DELAY_S
+        if progress.snapshot is not None and progress.awaiting_answer:
+            return _IDLE_POLL_INTERVAL_S
+        if progress.sent_commit < self._state.commit_index:
+            due_at = progress.sent_at + _COMMIT_UPDATE_DELAY_S
         else:
             due_at = progress.sent_at + self._heartbeat_s
         return max(_SHORTEST_PAUSE_S, due_at - time.monotonic())
 
-    def has_something(self) -> bool:
-        """Tell whether an answer has made room for something to send."""
+    def has_pending(self) -> bool:
+        """Tell whether there may be a message to send after an answer."""
         progress = self.progress
         return (
             progress.probing
             or progress.next_index <= self._state.window.last_index
-            or progress.sent_commit < self._state.commit
+            or progress.sent_commit < self._state.commit_index
             or self._round_is_due()
         )
 
     def next_message(self) -> AppendEntries | EntryBatch | SnapshotPart | None:
-        """Choose what to send now, if anything."""
+        """Return the message to send now, or None."""
         progress = self.progress
         window = self._state.window
         if progress.snapshot is not None:
@@ -101,9 +102,9 @@
         return None
 
     def _has_room(self) -> bool:
-        """Tell whether the peer may get more before it answers.
+        """Tell whether the peer may receive more entries before it answers.
 
-        Entries that come while its disk is busy travel together in the
+        Entries appended while its disk is busy are sent together in the
         next message.
         """
         progress = self.progress
@@ -114,9 +115,9 @@
         )
 
     def _probe(self) -> AppendEntries | None:
-        if self.progress.awaiting and not self._heartbeat_is_due():
+        if self.progress.awaiting_answer and not self._heartbeat_is_due():
             return None
-        self.progress.awaiting = True
+        self.progress.awaiting_answer = True
         return self._empty_message(0)
 
     def _round_is_due(self) -> bool:
@@ -128,7 +129,7 @@
         )
 
     def _heartbeat_is_due(self) -> bool:
-        return self.pause_s() <= _SHORTEST_PAUSE_S
+        return self.due_in_s() <= _SHORTEST_PAUSE_S
 
     def _next_batch(self) -> EntryBatch:
         progress = self.progress
@@ -145,16 +146,16 @@
         state = self._state
         previous = progress.next_index - 1
         progress.sent_at = time.monotonic()
-        progress.sent_commit = state.commit
+        progress.sent_commit = state.commit_index
         if read_round:
             progress.sent_round = read_round
         return AppendEntries(
             group=state.membership.group,
             term=state.term,
-            leader=state.own.name,
+            leader=state.own_host.name,
             previous_index=previous,
             previous_term=state.window.term_at(previous),
-            commit=state.commit,
+            commit=state.commit_index,
             read_round=read_round,
             entries=b'',
         )
@@ -163,16 +164,16 @@
         progress = self.progress
         snapshot = progress.snapshot
         assert snapshot is not None
-        if progress.awaiting:
+        if progress.awaiting_answer:
             return None
-        progress.awaiting = True
+        progress.awaiting_answer = True
         progress.sent_at = time.monotonic()
-        start = progress.snapshot_bytes
+        start = progress.snapshot_received_bytes
         end = start + self._limits.snapshot_part_bytes
         return SnapshotPart(
             group=self._state.membership.group,
             term=self._state.term,
-            leader=self._state.own.name,
+            leader=self._state.own_host.name,
             index=snapshot.index,
             index_term=snapshot.term,
             membership=snapshot.membership,
--- a/baobabgap/replication/_parts.py
+++ b/baobabgap/replication/_parts.py
@@ -1,4 +1,4 @@
-"""Building the parts of a host's log and wiring them together."""
+"""Creates the parts of a host's log and connects them."""
 
 from concurrent.futures import Executor
 from dataclasses import dataclass
@@ -28,17 +28,17 @@
 
     # The open data folder.
     storage: Storage
-    # What all tasks share.
+    # The consensus state that all tasks share.
     state: GroupState
     # Syncs entries, term and vote.
     writer: LogWriter
     # The links to the other hosts.
     peers: Peers
-    # Callers that wait for a read point.
+    # Pending linearizable reads.
     reads: ReadBarriers
-    # Feeds the state machine.
+    # Applies committed commands to the state machine.
     applier: Applier
-    # Seeks and grants votes.
+    # Requests and grants votes.
     election: Election
     # Founds the group, once.
     founding: Founding
@@ -53,19 +53,19 @@
         folder: DataFolder,
         limits: LogLimits,
     ) -> 'LogParts':
-        """Open the folder and build everything on it."""
-        own = _own_host(settings)
+        """Open the data folder and create the parts."""
+        own_host = _own_host(settings)
         storage = Storage.open(folder)
         state = GroupState(
-            own,
+            own_host,
             storage.identity,
             storage.recovered,
             settings.control.election_timeout_s,
         )
         writer = LogWriter(state, storage)
 
-        def take_vote(name: str, store: str, answer: VoteAnswer) -> None:
-            election.take_answer(name, store, answer)
+        def on_vote_answer(name: str, store: str, answer: VoteAnswer) -> None:
+            election.handle_vote_answer(name, store, answer)
 
         def make_peer(host: ControlHost) -> Peer:
             return Peer(
@@ -74,20 +74,20 @@
                 storage,
                 limits,
                 founding.introduce,
-                take_vote,
-                reads.take_rounds,
+                on_vote_answer,
+                reads.process_confirmed_rounds,
             )
 
         peers = Peers(
             state,
             settings.control_hosts,
             make_peer,
-            _own_hello(settings, own, incarnation),
+            _own_hello(settings, own_host, incarnation),
             LinkTiming(settings.links.heartbeat_s, settings.links.silence_s),
             pool,
         )
         reads = ReadBarriers(
-            state, peers.ask_round, peers.confirmed_round_by_voter
+            state, peers.broadcast_read_round, peers.confirmed_round_by_voter
         )
         founding = Founding(
             state, settings.control_hosts, peers, settings.control.may_found
@@ -98,7 +98,7 @@
         applier = Applier(state, machine, storage, writer, limits, reads, pool)
         state.run_later = pool.submit
         state.wake_peers = peers.wake
-        state.on_lead = peers.begin_to_lead
+        state.on_become_leader = peers.reset_progress
         state.durable_by_voter = peers.durable_by_voter
         return cls(
             storage, state, writer, peers, reads, applier, election, founding
@@ -109,18 +109,18 @@
     for host in settings.control_hosts:
         if host.name == settings.name:
             return host
-    # A host that joins a group which others have founded.
+    # This host joins a group that other hosts have founded.
     listen = settings.listen
     return ControlHost(settings.name, listen.host, listen.internal_port)
 
 
 def _own_hello(
-    settings: Settings, own: ControlHost, incarnation: str
+    settings: Settings, own_host: ControlHost, incarnation: str
 ) -> Hello:
     return Hello(
         name=settings.name,
         role='control',
         incarnation=incarnation,
-        address=own.address,
+        address=own_host.address,
         availability_zone=settings.place.availability_zone,
     )
--- a/baobabgap/replication/_peer.py
+++ b/baobabgap/replication/_peer.py
@@ -1,4 +1,4 @@
-"""One peer of this host: the link to it, and as leader its log."""
+"""The link to one peer and, on the leader, the replication to it."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -16,8 +16,8 @@
 from baobabgap.replication._messages import Introduce
 from baobabgap.replication._messages import SnapshotAnswer
 from baobabgap.replication._messages import VoteAnswer
-from baobabgap.replication._outgoing import EntryBatch
-from baobabgap.replication._outgoing import Outgoing
+from baobabgap.replication._outgoing_messages import EntryBatch
+from baobabgap.replication._outgoing_messages import OutgoingMessages
 from baobabgap.replication._progress import Progress
 from baobabgap.replication._state import GroupState
 from baobabgap.replication._storage import Storage
@@ -27,14 +27,14 @@
 from baobabgap.transport import Dialer
 from baobabgap.transport import LinkTiming
 
-_IDLE_CHECK_S: Final = 1.0
+_IDLE_POLL_INTERVAL_S: Final = 1.0
 
 
 class Peer:
-    """Keeps a link to one peer and sends what the peer lacks.
+    """Keeps a link to one peer and sends the entries that it lacks.
 
-    One task holds the link and takes answers; a second one sends, so
-    that a slow peer delays nobody else.
+    One task runs the link and handles answers; a second one sends, so
+    that a slow peer does not delay others.
     """
 
     def __init__(
@@ -44,106 +44,110 @@
         storage: Storage,
         limits: LogLimits,
         introduce: Callable[[], Introduce],
-        on_vote: Callable[[str, str, VoteAnswer], None],
-        on_round: Callable[[], None],
+        on_vote_answer: Callable[[str, str, VoteAnswer], None],
+        on_round_confirmed: Callable[[], None],
     ) -> None:
         self.host: Final = host
-        # What the peer said of itself on the present link, or None.
-        self.introduced: Introduce | None = None
+        # The introduction of the peer on the current link, or None.
+        self.introduction: Introduce | None = None
         self._state = state
         self._storage = storage
-        self._outgoing = Outgoing(state, limits)
+        self._outgoing = OutgoingMessages(state, limits)
         self._introduce = introduce
-        self._on_vote = on_vote
-        self._on_round = on_round
+        self._on_vote_answer = on_vote_answer
+        self._on_round_confirmed = on_round_confirmed
         self._link: Connection | None = None
         self._wake = threading.Event()
         self._dialer: Dialer | None = None
         self._pool: Executor | None = None
         self._last_error = ''
 
-    def start(self, own: Hello, timing: LinkTiming, pool: Executor) -> None:
-        """Begin to dial the peer."""
+    def start(self, hello: Hello, timing: LinkTiming, pool: Executor) -> None:
+        """Start to connect to the peer."""
         self._pool = pool
         self._dialer = Dialer(
             self.host.address,
-            own,
+            hello,
             timing,
             pool,
-            self._hold_link,
+            self._run_link,
             self._log_error,
         )
         self._dialer.start()
 
     def stop(self) -> None:
-        """Dial no more and close the link."""
+        """Stop connecting and close the link."""
         if self._dialer is not None:
             self._dialer.stop()
         self._wake.set()
 
     @property
     def progress(self) -> Progress:
-        """How far the peer has come, as the leader knows it."""
+        """The replication progress of the peer, on the leader."""
         return self._outgoing.progress
 
     @property
     def store(self) -> str:
-        """The store that answers on the present link, or empty."""
-        return self.introduced.store if self.introduced else ''
+        """The store of the peer on the current link, or empty."""
+        return self.introduction.store if self.introduction else ''
 
     @property
-    def counts(self) -> bool:
-        """Tell whether the store at the other end counts in a quorum."""
-        return self._state.membership.counts(self.host.name, self.store)
+    def is_voting(self) -> bool:
+        """Whether the peer's current store counts toward a quorum."""
+        return self._state.membership.is_voting_store(
+            self.host.name, self.store
+        )
 
     def wake(self) -> None:
-        """Have the sending task look for something to send."""
+        """Wake the sending task."""
         self._wake.set()
 
-    def confirm_round(self, read_round: int) -> None:
-        """Have the peer confirm that this host still leads."""
+    def request_read_round(self, read_round: int) -> None:
+        """Request the peer to confirm that this host is still the leader."""
         self._outgoing.read_round = read_round
         self._wake.set()
 
     def send(self, message: object) -> None:
-        """Send a message if there is a link."""
+        """Send a message if the peer is connected."""
         if self._link is not None:
             self._link.send(message)
 
-    def begin_to_lead(self) -> None:
-        """Start anew with this peer, in a new term."""
+    def reset_progress(self) -> None:
+        """Reset the progress of the peer for a new term."""
         next_index = self._state.window.last_index + 1
         self._outgoing.progress = Progress(next_index, time.monotonic())
         self._wake.set()
 
-    def _hold_link(self, connection: Connection) -> None:
+    def _run_link(self, connection: Connection) -> None:
         connection.send(self._introduce())
         messages = connection.messages()
-        introduced = next(messages)
-        if not isinstance(introduced, Introduce):
+        introduction = next(messages)
+        if not isinstance(introduction, Introduce):
             raise ProtocolMismatch(
                 'the first message must be Introduce',
                 step='introduce',
                 peer=self.host.name,
             )
-        if introduced.name != self.host.name:
+        if introduction.name != self.host.name:
             raise ProtocolMismatch(
-                f'{introduced.name} answers at {self.host.address}',
+                f'unexpected host {introduction.name} at {self.host.address}',
                 step='introduce',
                 peer=self.host.name,
             )
-        self._open(connection, introduced)
+        self._open_link(connection, introduction)
         try:
             for message in messages:
-                self._take(message)
+                self._handle(message)
         finally:
-            self._close(connection)
+            self._close_link(connection)
 
-    def _open(self, connection: Connection, introduced: Introduce) -> None:
+    def _open_link(
+        self, connection: Connection, introduction: Introduce
+    ) -> None:
         with self._state.lock:
-            if introduced.store != self.store:
-                self.progress.durable = 0
-            self.introduced = introduced
+            if introduction.store != self.store:
+                self.progress.durable_index = 0
+            self.introduction = introduction
             self._link = connection
             self.progress.restart_on_new_link(
                 self._state.window.last_index + 1
@@ -151,24 +155,24 @@
         assert self._pool is not None
         self._pool.submit(self._send_while_open, connection)
 
-    def _close(self, connection: Connection) -> None:
+    def _close_link(self, connection: Connection) -> None:
         with self._state.lock:
-            self.introduced = None
+            self.introduction = None
             self._link = None
         connection.close()
         self._wake.set()
 
-    def _take(self, message: Any) -> None:
+    def _handle(self, message: Any) -> None:
         with self._state.lock:
             match message:
                 case Introduce():
-                    self.introduced = message
+                    self.introduction = message
                 case AppendAnswer():
-                    self._take_append_answer(message)
+                    self._handle_append_answer(message)
                 case SnapshotAnswer():
-                    self._take_snapshot_answer(message)
+                    self._handle_snapshot_answer(message)
                 case VoteAnswer():
-                    self._on_vote(self.host.name, self.store, message)
+                    self._on_vote_answer(self.host.name, self.store, message)
 
     def _answer_is_current(self, term: int) -> bool:
         self._state.adopt_term(term)
@@ -177,7 +181,7 @@
         self.progress.answered_at = time.monotonic()
         return True
 
-    def _take_append_answer(self, answer: AppendAnswer) -> None:
+    def _handle_append_answer(self, answer: AppendAnswer) -> None:
         if not self._answer_is_current(answer.term):
             return
         progress = self.progress
@@ -188,20 +192,20 @@
             progress.note_refused(answer.index)
         if answer.read_round > progress.confirmed_round:
             progress.confirmed_round = answer.read_round
-            self._on_round()
-        if self._outgoing.has_something():
+            self._on_round_confirmed()
+        if self._outgoing.has_pending():
             self._wake.set()
 
-    def _take_snapshot_answer(self, answer: SnapshotAnswer) -> None:
+    def _handle_snapshot_answer(self, answer: SnapshotAnswer) -> None:
         if not self._answer_is_current(answer.term):
             return
         progress = self.progress
-        progress.awaiting = False
+        progress.awaiting_answer = False
         if answer.installed:
             progress.note_installed(answer.index)
             self._state.commit_by_quorum()
         else:
-            progress.snapshot_bytes = answer.received_bytes
+            progress.snapshot_received_bytes = answer.received_bytes
         self._wake.set()
 
     def _send_while_open(self, connection: Connection) -> None:
@@ -213,11 +217,11 @@
         except BaobabgapError as error:
             self._log_error(error)
         finally:
-            # Whatever ended this task, a new link starts a new one.
+            # Every new link starts a new sending task, also after an error.
             connection.close()
 
     def _send_due(self, connection: Connection) -> float:
-        """Send what is due; return the seconds to wait for more."""
+        """Send all due messages; return the seconds until the next one."""
         with self._state.lock:
             needs_snapshot = self._outgoing.needs_snapshot()
         if needs_snapshot:
@@ -225,10 +229,10 @@
         while True:
             with self._state.lock:
                 if not self._state.is_leader or self._link is not connection:
-                    return _IDLE_CHECK_S
+                    return _IDLE_POLL_INTERVAL_S
                 message = self._outgoing.next_message()
                 if message is None:
-                    return self._outgoing.pause_s()
+                    return self._outgoing.due_in_s()
             if isinstance(message, EntryBatch):
                 message = message.as_message()
             connection.send(message)
@@ -242,12 +246,12 @@
             return
         with self._state.lock:
             self.progress.snapshot = snapshot
-            self.progress.snapshot_bytes = 0
-            self.progress.awaiting = False
+            self.progress.snapshot_received_bytes = 0
+            self.progress.awaiting_answer = False
         log_event('snapshot_sent', peer=self.host.name, index=snapshot.index)
 
     def _log_error(self, error: BaobabgapError) -> None:
-        """Log an error unless it only repeats the last one."""
+        """Log an error unless it equals the last one."""
         text = str(error)
         if text == self._last_error:
             return
--- a/baobabgap/replication/_records.py
+++ b/baobabgap/replication/_records.py
@@ -1,11 +1,11 @@
-"""The file of the log: a header, then records, each with a checksum.
-
-One record holds all that was synced together: the term, the vote and the
-entries. The next record is written only after the sync of the one before
-it. So an invalid record with a valid one after it was synced once and is
-damage, while an invalid end is a write that was never acknowledged. The
-checksums start from a random salt in the header of the file, so that
-bytes inside a command can't be taken for a record.
+"""The log file: a header, then records, each with a checksum.
+
+A record holds the term, the vote and the entries that were synced
+together. The next record is written only after the sync of the previous
+one. Therefore an invalid record that a valid one follows had been synced
+and is damaged, while an invalid last record is a torn write that was
+never acknowledged. The checksums are seeded with a random salt from the
+file header, so that bytes inside a command can't pass as a record.
 """
 
 from dataclasses import dataclass
@@ -24,38 +24,38 @@
 _RECORD_MAGIC: Final = b'\xb5rec'
 # Magic, format version, salt, base index, checksum.
 _FILE_HEADER: Final = struct.Struct('<8sIIQI')
-# Magic, sequence, payload bytes, payload checksum, header checksum.
+# Magic, sequence, payload length, payload checksum, header checksum.
 _RECORD_HEADER: Final = struct.Struct('<4sQIII')
 _HEADER_CHECKSUM: Final = struct.Struct('<I')
-# Term, bytes of the vote.
+# Term, length of the vote in bytes.
 _PAYLOAD_HEADER: Final = struct.Struct('<QB')
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What was synced together."""
+    """Term, vote and entries that are synced together."""
 
-    # The current term at the time of writing.
+    # The current term when the record was written.
     term: int
-    # The store that got this host's vote in that term, or empty.
+    # The store that this host voted for in that term, or empty.
     vote: str
-    # Entries; the first one replaces all from its index on.
+    # Entries; they replace all earlier ones from the first index on.
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ScannedLog:
-    """What a log file holds."""
+    """The content of a log file."""
 
-    # The first entry of the file comes after this index; what is before
-    # must be in the snapshot.
+    # The first entry of the file follows this index; the snapshot must
+    # cover everything up to it.
     base_index: int
     # The valid records, oldest first.
     records: tuple[Record, ...]
 
 
 def new_file_header(base_index: int) -> tuple[int, bytes]:
-    """Return a fresh salt and the file header that carries it."""
+    """Return a new random salt and the file header that holds it."""
     salt = int.from_bytes(os.urandom(4), 'little')
     start = _FILE_HEADER.pack(
         _FILE_MAGIC, LOG_FORMAT_VERSION, salt, base_index, 0
@@ -64,7 +64,7 @@
 
 
 def encode_record(salt: int, sequence: int, record: Record) -> bytes:
-    """Return the bytes of the record that is number `sequence`."""
+    """Encode a record with the sequence number `sequence`."""
     vote = record.vote.encode()
     payload = b''.join(
         (
@@ -81,21 +81,21 @@
 
 
 def scan_log(path: str, content: bytes) -> ScannedLog:
-    """Read a log file; raise `DamagedLog` with the offset of the damage."""
+    """Decode a log file; raise `DamagedLog` with the damaged offset."""
     salt, base_index = _read_file_header(path, content)
     records: list[Record] = []
     offset = _FILE_HEADER.size
     while offset < len(content):
         payload = _payload_at(content, offset, salt)
         if payload is None:
-            _refuse_damaged_middle(path, content, offset, salt)
+            _check_nothing_valid_follows(path, content, offset, salt)
             break
         sequence = _sequence_at(content, offset)
         if sequence != len(records) + 1:
             raise DamagedLog(
                 path,
                 offset,
-                f'record {sequence} stands where {len(records) + 1} belongs',
+                f'found record {sequence}, expected record {len(records) + 1}',
             )
         records.append(_decode_payload(path, offset, payload))
         offset += _RECORD_HEADER.size + len(payload)
@@ -103,16 +103,17 @@
 
 
 def _read_file_header(path: str, content: bytes) -> tuple[int, int]:
-    # The header is synced before the file gets its name: never torn.
+    # The header is synced before the file is renamed into place, so that
+    # it can't be a torn write.
     if len(content) < _FILE_HEADER.size:
-        raise DamagedLog(path, len(content), 'the file header is cut short')
+        raise DamagedLog(path, len(content), 'the file header is truncated')
     magic, version, salt, base_index, checksum = _FILE_HEADER.unpack_from(
         content
     )
     if magic != _FILE_MAGIC:
-        raise DamagedLog(path, 0, 'this is no log file')
+        raise DamagedLog(path, 0, 'this is not a log file')
     if checksum != zlib.crc32(content[: _FILE_HEADER.size - 4]):
-        raise DamagedLog(path, 0, 'wrong checksum of the file header')
+        raise DamagedLog(path, 0, 'the checksum of the file header is wrong')
     if version != LOG_FORMAT_VERSION:
         raise DamagedLog(
             path,
@@ -124,7 +125,7 @@
 
 
 def _payload_at(content: bytes, offset: int, salt: int) -> bytes | None:
-    """Return the payload of a whole and valid record, else None."""
+    """Return the payload of a complete, valid record, or None."""
     start = offset + _RECORD_HEADER.size
     if start > len(content):
         return None
@@ -145,10 +146,10 @@
     return int(_RECORD_HEADER.unpack_from(content, offset)[1])
 
 
-def _refuse_damaged_middle(
+def _check_nothing_valid_follows(
     path: str, content: bytes, offset: int, salt: int
 ) -> None:
-    """Raise if a valid record stands anywhere after an invalid one."""
+    """Raise `DamagedLog` if a valid record follows an invalid one."""
     later = content.find(_RECORD_MAGIC, offset + 1)
     while later >= 0:
         if _payload_at(content, later, salt) is not None:
--- a/baobabgap/replication/_recovery.py
+++ b/baobabgap/replication/_recovery.py
@@ -1,4 +1,4 @@
-"""Reading a data folder at a start: its format, and what counts in it."""
+"""Reading a data folder at startup: its format and its entries."""
 
 import json
 from typing import Final
@@ -19,27 +19,31 @@
 def join_entries(
     folder: DataFolder, scanned: ScannedLog, snapshot: Snapshot | None
 ) -> tuple[Entry, ...]:
-    """Return the entries after the snapshot; later ones replace earlier.
+    """Return the entries after the snapshot, from all records.
 
-    Raises `DamagedLog` if the snapshot that the log builds on is gone.
+    An entry replaces the entries from its index on in earlier records.
+    Raises `DamagedLog` if an entry is out of sequence, or if the snapshot
+    does not reach the start of the log.
     """
-    covered = snapshot.index if snapshot is not None else 0
-    if covered < scanned.base_index:
+    snapshot_index = snapshot.index if snapshot is not None else 0
+    if snapshot_index < scanned.base_index:
         raise DamagedLog(
             folder.path_of(SNAPSHOT_NAME),
             0,
-            f'the log builds on a snapshot up to {scanned.base_index}; '
-            f'this one is up to {covered}',
+            f'the log needs a snapshot up to {scanned.base_index}; '
+            f'the stored one is up to {snapshot_index}',
         )
     entries: list[Entry] = []
     for record in scanned.records:
         for entry in record.entries:
-            keep = entry.index - scanned.base_index - 1
-            if keep < 0 or keep > len(entries):
+            kept_count = entry.index - scanned.base_index - 1
+            if kept_count < 0 or kept_count > len(entries):
                 raise DamagedLog(
-                    folder.path_of(LOG_NAME), 0, f'entry {entry.index} jumps'
+                    folder.path_of(LOG_NAME),
+                    0,
+                    f'entry {entry.index} is out of sequence',
                 )
-            del entries[keep:]
+            del entries[kept_count:]
             entries.append(entry)
     if snapshot is None:
         return tuple(entries)
@@ -49,7 +53,7 @@
 def _after_snapshot(
     entries: list[Entry], snapshot: Snapshot
 ) -> tuple[Entry, ...]:
-    """Drop what the snapshot covers, or a log that it has replaced."""
+    """Drop entries that the snapshot covers or conflicts with."""
     if not entries or entries[0].index == snapshot.index + 1:
         return tuple(entries)
     position = snapshot.index - entries[0].index
@@ -61,7 +65,7 @@
 
 
 def write_file(folder: DataFolder, name: str, content: bytes) -> None:
-    """Put a whole file in place, durably."""
+    """Write a file durably, replacing an existing one atomically."""
     temporary = name + TEMPORARY_SUFFIX
     folder.remove(temporary)
     file = folder.open_append(temporary)
@@ -74,13 +78,13 @@
 
 
 def write_format(folder: DataFolder, identity: str) -> None:
-    """Seal a folder that has been set up."""
+    """Write the format file, which marks the folder as initialized."""
     document = {'format_version': FOLDER_FORMAT_VERSION, 'store': identity}
     write_file(folder, FORMAT_NAME, json.dumps(document).encode())
 
 
 def read_format(folder: DataFolder) -> str:
-    """Return the store's identity; raise `DamagedLog`."""
+    """Return the identity of the store; raise `DamagedLog`."""
     path = folder.path_of(FORMAT_NAME)
     try:
         document = json.loads(folder.read(FORMAT_NAME))
--- a/baobabgap/replication/_session.py
+++ b/baobabgap/replication/_session.py
@@ -1,4 +1,4 @@
-"""The answering end of a link that another control host has dialled."""
+"""The accepting side of a link from another control host."""
 
 from collections.abc import Callable
 from typing import Any
@@ -26,7 +26,7 @@
 
 
 class PeerSession:
-    """Answers one peer: as a follower of it, or as a voter."""
+    """Answers the requests of one peer, as a follower or as a voter."""
 
     def __init__(
         self,
@@ -45,26 +45,26 @@
         self._applier: Final = applier
         self._election: Final = election
         self._introduce: Final = introduce
-        self._received = bytearray()
-        self._receiving_index = 0
+        self._snapshot_data = bytearray()
+        self._snapshot_index = 0
 
     def run(self) -> None:
-        """Answer until the link ends."""
+        """Answer requests until the link closes."""
         try:
             for message in self._connection.messages():
-                self._take(message)
+                self._handle(message)
         finally:
-            self._note_end()
+            self._handle_link_end()
 
-    def _note_end(self) -> None:
+    def _handle_link_end(self) -> None:
         state = self._state
         with state.lock:
             if state.leader == self._connection.peer.name and (
                 not state.is_leader and not state.stopping
             ):
-                state.lose_leader()
+                state.on_leader_link_closed()
 
-    def _take(self, message: Any) -> None:
+    def _handle(self, message: Any) -> None:
         match message:
             case Introduce():
                 with self._state.lock:
@@ -72,18 +72,20 @@
             case VoteRequest():
                 with self._state.lock:
                     if self._is_own_group(message.group):
-                        self._election.consider(message, self._connection.send)
+                        self._election.handle_vote_request(
+                            message, self._connection.send
+                        )
             case AppendEntries():
                 entries = self._decode(message)
                 with self._state.lock:
                     if self._accepts_leader(message):
-                        self._take_entries(message, entries)
+                        self._handle_entries(message, entries)
             case SnapshotPart():
-                self._take_snapshot_part(message)
+                self._handle_snapshot_part(message)
             case SeekElection():
                 with self._state.lock:
                     if message.term == self._state.term:
-                        self._election.seek_at_once()
+                        self._election.start_without_pre_vote()
 
     def _decode(self, message: AppendEntries) -> list[Entry]:
         try:
@@ -105,43 +107,43 @@
         return False
 
     def _accepts_leader(self, message: AppendEntries | SnapshotPart) -> bool:
-        """Follow the sender unless its term is over."""
+        """Follow the sender unless its term is outdated."""
         state = self._state
         if not self._is_own_group(message.group) or state.stopping:
             return False
         if message.term < state.term:
-            self._answer(accepted=False, index=0, read_round=0)
+            self._send_append_answer(accepted=False, index=0, read_round=0)
             return False
         state.follow(message.term, message.leader)
         return state.storage_ok
 
-    def _take_entries(
+    def _handle_entries(
         self, message: AppendEntries, entries: list[Entry]
     ) -> None:
-        agreeing_index = self._disagreement(message)
-        if agreeing_index is not None:
-            self._answer_after_sync(False, agreeing_index, 0)
+        possible_match = self._find_possible_match(message)
+        if possible_match is not None:
+            self._send_append_answer_after_sync(False, possible_match, 0)
             return
         self._append_missing(entries)
         state = self._state
-        confirmed = message.previous_index + len(entries)
-        state.confirmed = max(state.confirmed, confirmed)
-        state.advance_commit(min(message.commit, confirmed))
+        matching_index = message.previous_index + len(entries)
+        state.matching_index = max(state.matching_index, matching_index)
+        state.advance_commit(min(message.commit, matching_index))
         if entries:
-            self._answer_after_sync(True, None, 0)
+            self._send_append_answer_after_sync(True, None, 0)
         elif state.durable_term < state.term:
-            self._answer_after_sync(True, None, message.read_round)
+            self._send_append_answer_after_sync(True, None, message.read_round)
         else:
-            self._answer(True, None, message.read_round)
+            self._send_append_answer(True, None, message.read_round)
 
-    def _disagreement(self, message: AppendEntries) -> int | None:
-        """Return where the logs may agree if they don't, else None."""
+    def _find_possible_match(self, message: AppendEntries) -> int | None:
+        """Return None if the logs match, else where they may match."""
         window = self._state.window
         previous = message.previous_index
         if previous > window.last_index:
             return window.last_index
         if previous <= window.compacted_index:
-            # Compacted entries are committed, and so agree.
+            # Compacted entries are committed, and therefore match.
             return None
         term = window.term_at(previous)
         if term == message.previous_term:
@@ -164,20 +166,20 @@
                 state.truncate(entry.index)
             state.append(entry)
 
-    def _answer_after_sync(
+    def _send_append_answer_after_sync(
         self, accepted: bool, index: int | None, read_round: int
     ) -> None:
         self._writer.after_sync(
             f'append {id(self)} {accepted} {read_round}',
-            lambda: self._answer(accepted, index, read_round),
+            lambda: self._send_append_answer(accepted, index, read_round),
         )
 
-    def _answer(
+    def _send_append_answer(
         self, accepted: bool, index: int | None, read_round: int
     ) -> None:
         state = self._state
         if index is None:
-            index = min(state.durable, state.confirmed)
+            index = min(state.durable_index, state.matching_index)
         self._connection.send(
             AppendAnswer(
                 term=state.term,
@@ -187,27 +189,30 @@
             )
         )
 
-    def _take_snapshot_part(self, part: SnapshotPart) -> None:
+    def _handle_snapshot_part(self, part: SnapshotPart) -> None:
         with self._state.lock:
             if not self._accepts_leader(part):
                 self._refuse_while_storage_fails()
                 return
-        if part.offset == 0 or part.index != self._receiving_index:
-            self._received = bytearray()
-            self._receiving_index = part.index
-        if part.offset == len(self._received):
-            self._received += part.data
-        if len(self._received) < part.state_bytes:
-            self._answer_snapshot(part.index, installed=False)
+        if part.offset == 0 or part.index != self._snapshot_index:
+            self._snapshot_data = bytearray()
+            self._snapshot_index = part.index
+        if part.offset == len(self._snapshot_data):
+            self._snapshot_data += part.data
+        if len(self._snapshot_data) < part.state_bytes:
+            self._send_snapshot_answer(part.index, installed=False)
             return
         snapshot = Snapshot(
-            part.index, part.index_term, part.membership, bytes(self._received)
+            part.index,
+            part.index_term,
+            part.membership,
+            bytes(self._snapshot_data),
         )
-        self._received = bytearray()
+        self._snapshot_data = bytearray()
         self._install(snapshot)
 
     def _refuse_while_storage_fails(self) -> None:
-        """End the link: the leader waits for an answer to each part."""
+        """Close the link, since the leader awaits an answer to each part."""
         if not self._state.storage_ok:
             raise StorageUnavailable(
                 'the disk refuses writes',
@@ -216,27 +221,29 @@
             )
 
     def _install(self, snapshot: Snapshot) -> None:
-        """Make the snapshot durable, then put it in force."""
+        """Make the snapshot durable, then apply it."""
         state = self._state
-        # If the disk refuses, the error ends the link; the leader will
-        # begin again after a pause.
+        # If this fails, the error closes the link; the leader sends the
+        # snapshot again after it has reconnected.
         self._storage.save_snapshot(snapshot)
         with state.lock:
-            if snapshot.index > state.commit:
+            if snapshot.index > state.commit_index:
                 self._applier.install(snapshot)
                 self._writer.request_rewrite()
-            state.confirmed = max(state.confirmed, snapshot.index)
+            state.matching_index = max(state.matching_index, snapshot.index)
             self._writer.after_sync(
                 f'snapshot {id(self)}',
-                lambda: self._answer_snapshot(snapshot.index, installed=True),
+                lambda: self._send_snapshot_answer(
+                    snapshot.index, installed=True
+                ),
             )
 
-    def _answer_snapshot(self, index: int, installed: bool) -> None:
+    def _send_snapshot_answer(self, index: int, installed: bool) -> None:
         self._connection.send(
             SnapshotAnswer(
                 term=self._state.term,
                 index=index,
-                received_bytes=len(self._received),
+                received_bytes=len(self._snapshot_data),
                 installed=installed,
             )
         )
--- a/baobabgap/replication/_snapshot.py
+++ b/baobabgap/replication/_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the state machine and their file."""
+"""Snapshots of the state machine and their file format."""
 
 from dataclasses import dataclass
 import hashlib
@@ -10,26 +10,26 @@
 SNAPSHOT_FORMAT_VERSION: Final = 1
 _MAGIC: Final = b'baobsnap'
 _DIGEST_BYTES: Final = 16
-# Magic, format version, index, term, bytes of membership and of state.
+# Magic, format version, index, term, lengths of membership and state.
 _HEADER: Final = struct.Struct('<8sIQQIQ')
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state after all entries up to one index."""
+    """The state of the state machine after one entry."""
 
-    # The last entry that the state includes.
+    # The index of the last entry that the state includes.
     index: int
     # The term of that entry.
     term: int
     # The encoded membership in force at that entry.
     membership: bytes
-    # What the state machine returned.
+    # The state, as `StateMachine.snapshot` returned it.
     state: bytes
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the content of the snapshot's file."""
+    """Encode the content of the snapshot file."""
     header = _HEADER.pack(
         _MAGIC,
         SNAPSHOT_FORMAT_VERSION,
@@ -43,16 +43,16 @@
 
 
 def decode_snapshot(path: str, content: bytes) -> Snapshot:
-    """Read a snapshot's file; raise `DamagedLog` if it is not whole."""
+    """Decode a snapshot file; raise `DamagedLog` if it is invalid."""
     if len(content) < _HEADER.size + _DIGEST_BYTES:
-        raise DamagedLog(path, len(content), 'the snapshot is cut short')
+        raise DamagedLog(path, len(content), 'the snapshot is truncated')
     magic, version, index, term, membership_bytes, state_bytes = (
         _HEADER.unpack_from(content)
     )
     if magic != _MAGIC:
-        raise DamagedLog(path, 0, 'this is no snapshot file')
+        raise DamagedLog(path, 0, 'this is not a snapshot file')
     if content[-_DIGEST_BYTES:] != _digest(content[:-_DIGEST_BYTES]):
-        raise DamagedLog(path, 0, 'wrong checksum of the snapshot')
+        raise DamagedLog(path, 0, 'the checksum of the snapshot is wrong')
     if version != SNAPSHOT_FORMAT_VERSION:
         raise DamagedLog(
             path,
--- a/baobabgap/replication/_status.py
+++ b/baobabgap/replication/_status.py
@@ -1,11 +1,11 @@
-"""What a host tells about its part in the group."""
+"""The status that a host reports about itself and its group."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class GroupRole(StrEnum):
-    """The part that a host plays at the moment."""
+    """The role of a host in the current term."""
 
     FOLLOWER = 'follower'
     CANDIDATE = 'candidate'
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """One member of the group as this host knows it."""
+    """One member of the group, as known to this host."""
 
     # The host's name from its settings.
     name: str
@@ -24,35 +24,35 @@
     store: str
     # Whether it counts toward a quorum.
     voter: bool
-    # The last index known to be durable there; 0 if not known here.
+    # The last index known to be durable there; 0 if unknown.
     durable: int
 
 
 @dataclass(frozen=True, slots=True)
 class LogStatus:
-    """A moment in the life of one host's log."""
+    """The status of one host's log at one point in time."""
 
     # This host's name.
     name: str
-    # The part that this host plays.
+    # The role of this host.
     role: GroupRole
-    # The leader's name as far as known here, or empty.
+    # The name of the leader, or empty if unknown.
     leader: str
     # The current term.
     term: int
     # The last index known to be committed.
     commit: int
-    # The last index that the machine has applied.
+    # The last index that the state machine has applied.
     applied: int
-    # The first index still held as an entry.
+    # The index of the first entry that is not compacted.
     first_index: int
-    # The last index held as an entry.
+    # The index of the last entry.
     last_index: int
     # The last index that is durable on this host.
     durable: int
-    # The members by the membership in force here.
+    # The members in the membership in force on this host.
     members: tuple[MemberStatus, ...]
-    # Bytes of all files in the data folder.
+    # The size of all files in the data folder.
     disk_bytes: int
-    # Whether the storage takes writes at the moment.
+    # Whether the storage currently accepts writes.
     storage_ok: bool
--- a/baobabgap/replication/_storage.py
+++ b/baobabgap/replication/_storage.py
@@ -35,13 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredState:
-    """What a host remembers at its start."""
+    """The state that a host reads from its data folder at startup."""
 
     # The last synced term.
     term: int
-    # The store that got the vote in that term, or empty.
+    # The store that this host voted for in that term, or empty.
     vote: str
-    # The newest snapshot, or None.
+    # The stored snapshot, or None.
     snapshot: Snapshot | None
     # The entries after the snapshot, without gaps.
     entries: tuple[Entry, ...]
@@ -50,10 +50,10 @@
 class Storage:
     """The files of one data folder.
 
-    `append` and `rewrite` belong to one task; `save_snapshot` and
-    `load_snapshot` may be called by any other. After a failure of
-    `append` nothing more is appended until `rewrite` has written the
-    whole log anew: what a failed sync left on the disk can't be known.
+    Only one task may call `append` and `rewrite`; any task may call
+    `save_snapshot` and `load_snapshot`. After a failure, `append` raises
+    until `rewrite` has replaced the whole log, since the content of the
+    file after a failed sync is unknown.
     """
 
     def __init__(
@@ -74,10 +74,10 @@
 
     @classmethod
     def open(cls, folder: DataFolder) -> 'Storage':
-        """Lock the folder and read it; set it up if it is empty.
+        """Lock the folder and read it; initialize it if it is empty.
 
-        A torn end of the log is cut. Raises `DataFolderInUse`,
-        `DamagedLog` or `StorageUnavailable`.
+        A torn write at the end of the log is discarded. Raises
+        `DataFolderInUse`, `DamagedLog` or `StorageUnavailable`.
         """
         try:
             folder.lock()
@@ -112,14 +112,14 @@
         last = scanned.records[-1] if scanned.records else Record(0, '', ())
         recovered = RecoveredState(last.term, last.vote, snapshot, entries)
         storage = cls(folder, identity, recovered)
-        # Writing the log anew also cuts a torn end.
+        # Rewriting the log also discards a torn write at its end.
         base_index = snapshot.index if snapshot is not None else 0
         storage.rewrite(last.term, last.vote, base_index, entries)
         return storage
 
     @classmethod
     def _set_up(cls, folder: DataFolder, names: set[str]) -> 'Storage':
-        """Make a new store; the format file, written last, seals it."""
+        """Create a new store; the format file is written last."""
         if SNAPSHOT_NAME in names:
             raise DamagedLog(
                 folder.path_of(FORMAT_NAME), 0, 'the file is missing'
@@ -138,18 +138,18 @@
 
     @property
     def log_bytes(self) -> int:
-        """The size of the log's file."""
+        """The size of the log file."""
         return self._log_bytes
 
     def used_bytes(self) -> int:
-        """Return the size of all files in the folder."""
+        """Return the total size of the files in the folder."""
         try:
             return self._folder.used_bytes()
         except OSError:
             return 0
 
     def append(self, term: int, vote: str, entries: Iterable[Entry]) -> None:
-        """Write one record and sync it; raise `StorageUnavailable`."""
+        """Append one record and sync it; raise `StorageUnavailable`."""
         if self._file is None:
             raise StorageUnavailable('the log is not open', step='append')
         record = Record(term, vote, tuple(entries))
@@ -158,7 +158,7 @@
             self._file.append(data)
             self._file.sync()
         except OSError as error:
-            self._give_up_file()
+            self._close_file()
             raise StorageUnavailable(str(error), step='append') from error
         self._sequence += 1
         self._log_bytes += len(data)
@@ -170,9 +170,9 @@
         base_index: int,
         entries: Iterable[Entry],
     ) -> None:
-        """Put a whole new log in place of the old one, durably.
+        """Replace the whole log durably; raise `StorageUnavailable`.
 
-        What is up to `base_index` must be in the saved snapshot.
+        The saved snapshot must cover all entries up to `base_index`.
         """
         temporary = LOG_NAME + TEMPORARY_SUFFIX
         file: AppendFile | None = None
@@ -194,8 +194,8 @@
         except OSError as error:
             if file is not None:
                 file.close()
-            self._give_up_file()
-            self._remove_quietly(temporary)
+            self._close_file()
+            self._remove_ignoring_errors(temporary)
             raise StorageUnavailable(str(error), step='rewrite') from error
         if self._file is not None:
             self._file.close()
@@ -205,7 +205,7 @@
         self._log_bytes = log_bytes
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Put a newer snapshot in place of the old one, durably."""
+        """Replace the stored snapshot durably if the new one is newer."""
         temporary = SNAPSHOT_NAME + TEMPORARY_SUFFIX
         with self._snapshot_lock:
             if snapshot.index <= self._snapshot_index:
@@ -215,14 +215,14 @@
                     self._folder, SNAPSHOT_NAME, encode_snapshot(snapshot)
                 )
             except OSError as error:
-                self._remove_quietly(temporary)
+                self._remove_ignoring_errors(temporary)
                 raise StorageUnavailable(
                     str(error), step='save snapshot'
                 ) from error
             self._snapshot_index = snapshot.index
 
     def load_snapshot(self) -> Snapshot:
-        """Read the newest snapshot; raise `StorageUnavailable`."""
+        """Read the stored snapshot; raise `StorageUnavailable`."""
         with self._snapshot_lock:
             try:
                 content = self._folder.read(SNAPSHOT_NAME)
@@ -240,12 +240,12 @@
             self._file = None
         self._folder.close()
 
-    def _give_up_file(self) -> None:
+    def _close_file(self) -> None:
         if self._file is not None:
             self._file.close()
             self._file = None
 
-    def _remove_quietly(self, name: str) -> None:
+    def _remove_ignoring_errors(self, name: str) -> None:
         try:
             self._folder.remove(name)
         except OSError:
@@ -255,10 +255,10 @@
 def _split_entries(
     entries: Iterable[Entry],
 ) -> Iterator[tuple[Entry, ...]]:
-    """Split entries over records of bounded size.
+    """Split entries into records of bounded size.
 
-    An empty record ends them, so that damage to any entry stands before
-    a valid record and can't pass for a torn end.
+    The last record is empty, so that a valid record follows every entry
+    and damage to an entry can't be mistaken for a torn write.
     """
     part: list[Entry] = []
     part_bytes = 0
--- a/baobabgap/replication/_window.py
+++ b/baobabgap/replication/_window.py
@@ -1,4 +1,4 @@
-"""The entries that a host holds in memory."""
+"""The log entries that a host holds in memory."""
 
 from collections.abc import Sequence
 
@@ -8,10 +8,10 @@
 
 
 class EntryWindow:
-    """A run of entries without gaps, after a point that is compacted.
+    """Consecutive log entries, after the compacted part of the log.
 
-    It also knows the membership in force at each of its entries. The
-    caller holds the lock of the group's state.
+    It also tracks the membership in force at each entry. The caller holds
+    the lock of `GroupState`.
     """
 
     def __init__(
@@ -21,7 +21,7 @@
         membership: Membership,
         entries: Sequence[Entry],
     ) -> None:
-        # The index and the term of the entry before the first one held.
+        # The index and the term of the last compacted entry.
         self.compacted_index = compacted_index
         self.compacted_term = compacted_term
         self._entries: list[Entry] = []
@@ -44,21 +44,21 @@
 
     @property
     def held_bytes(self) -> int:
-        """The size of the entries held."""
+        """The size of all entries in the window."""
         return self._bytes
 
     @property
     def membership(self) -> Membership:
-        """The membership of the last entry: it is in force at once."""
+        """The newest membership, in force as soon as it is appended."""
         return self._memberships[-1][1]
 
     @property
     def membership_index(self) -> int:
-        """The index of the entry that brought the membership in force."""
+        """The index of the entry that holds the newest membership."""
         return self._memberships[-1][0]
 
     def membership_at(self, index: int) -> Membership:
-        """Return the membership in force at an entry held."""
+        """Return the membership in force at an entry of the window."""
         found = self._memberships[0][1]
         for since, membership in self._memberships:
             if since <= index:
@@ -66,21 +66,21 @@
         return found
 
     def has_term_of(self, index: int) -> bool:
-        """Tell whether `term_at` can answer."""
+        """Tell whether `term_at` accepts the index."""
         return self.compacted_index <= index <= self.last_index
 
     def term_at(self, index: int) -> int:
-        """Return the term of an entry, or of the compacted point."""
+        """Return the term of an entry, or of the last compacted one."""
         if index == self.compacted_index:
             return self.compacted_term
         return self._entries[index - self.compacted_index - 1].term
 
     def entry(self, index: int) -> Entry:
-        """Return one entry."""
+        """Return the entry with this index."""
         return self._entries[index - self.compacted_index - 1]
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry."""
+        """Append the next entry."""
         self._entries.append(entry)
         self._bytes += entry.encoded_bytes
         if entry.kind is EntryKind.MEMBERSHIP:
@@ -88,7 +88,7 @@
             self._memberships.append((entry.index, membership))
 
     def truncate(self, first_dropped: int) -> None:
-        """Drop an entry and all after it."""
+        """Drop an entry and all later ones."""
         keep = first_dropped - self.compacted_index - 1
         dropped = self._entries[keep:]
         del self._entries[keep:]
@@ -97,7 +97,7 @@
             self._memberships.pop()
 
     def compact(self, index: int) -> None:
-        """Forget the entries up to `index`, which a snapshot covers."""
+        """Drop the entries up to `index`, which a snapshot covers."""
         if index <= self.compacted_index:
             return
         term = self.term_at(index)
@@ -116,7 +116,10 @@
     def entries_from(
         self, first: int, largest_bytes: int, last: int | None = None
     ) -> list[Entry]:
-        """Return entries from `first` on, at least one if there is one."""
+        """Return entries from `first` on, of limited size.
+
+        At least one entry is returned if there is one.
+        """
         found: list[Entry] = []
         found_bytes = 0
         start = first - self.compacted_index - 1
@@ -130,13 +133,13 @@
         return found
 
     def all_entries(self) -> tuple[Entry, ...]:
-        """Return all entries held."""
+        """Return all entries of the window."""
         return tuple(self._entries)
 
-    def kept_after(self, index: int, kept_bytes: int) -> int:
-        """Return the index to compact to, `index` at most.
+    def compaction_index(self, index: int, kept_bytes: int) -> int:
+        """Return the last index to compact, which is at most `index`.
 
-        About `kept_bytes` of the entries up to `index` stay.
+        About `kept_bytes` of the entries up to `index` are retained.
         """
         total = 0
         while index > self.compacted_index:
--- a/baobabgap/replication/_writer.py
+++ b/baobabgap/replication/_writer.py
@@ -1,4 +1,4 @@
-"""The task that writes the log: all that waits goes in one sync."""
+"""The task that writes the log; one sync covers all queued entries."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _Batch:
-    """What goes to the disk together."""
+    """The content of one write and sync."""
 
-    # The term and the vote to remember.
+    # The term and the vote to store.
     term: int
     vote: str
     # New entries, or all entries if `rewrite`.
     entries: tuple[Entry, ...]
     # Whether there is anything to write.
-    needed: bool
-    # Whether the whole log is written anew.
+    has_changes: bool
+    # Whether to rewrite the whole log.
     rewrite: bool
-    # The point before the first entry, if `rewrite`.
+    # The index before the first entry, if `rewrite`.
     compacted_index: int
     # Called once the batch is durable.
     callbacks: tuple[Callable[[], None], ...]
@@ -35,9 +35,9 @@
 class LogWriter:
     """Syncs entries, term and vote, and then runs callbacks.
 
-    Nothing is acknowledged but by these callbacks. If the disk fails,
-    they are dropped, this host stands down, and the whole log is written
-    anew until that succeeds.
+    Acknowledgements are sent only by these callbacks. If a write or sync
+    fails, the callbacks are dropped, this host steps down, and rewriting
+    the whole log is retried until it succeeds.
     """
 
     def __init__(self, state: GroupState, storage: Storage) -> None:
@@ -45,15 +45,15 @@
         self._storage = storage
         self._callback_by_key: dict[str, Callable[[], None]] = {}
         self._rewrite_wanted = False
-        self._busy = False
+        self._is_writing = False
 
     def after_sync(self, key: str, callback: Callable[[], None]) -> None:
-        """Call back, with the lock held, once all up to now is durable.
+        """Call back, with the lock held, once all queued data is durable.
 
-        A later callback with the same key replaces a waiting one. With
-        nothing to sync the call is immediate.
+        A callback replaces a pending one with the same key. If there is
+        nothing to sync, it is called immediately.
         """
-        if not self._has_work() and not self._busy:
+        if not self._has_work() and not self._is_writing:
             if self._state.storage_ok:
                 callback()
             return
@@ -61,12 +61,12 @@
         self._state.writer_work.notify()
 
     def request_rewrite(self) -> None:
-        """Write the whole log anew, for example after a compaction."""
+        """Have the whole log rewritten, for example after a compaction."""
         self._rewrite_wanted = True
         self._state.writer_work.notify()
 
     def run(self) -> None:
-        """Write until stopped and nothing is left."""
+        """Write until the host stops and no work is left."""
         while True:
             batch = self._next_batch()
             if batch is None:
@@ -75,7 +75,7 @@
 
     def _has_work(self) -> bool:
         return bool(
-            self._state.unwritten
+            self._state.unwritten_entries
             or self._state.vote_unwritten
             or self._rewrite_wanted
         )
@@ -90,7 +90,7 @@
             if state.stopping and not state.storage_ok:
                 return None
             rewrite = self._rewrite_wanted
-            entries = tuple(state.unwritten)
+            entries = tuple(state.unwritten_entries)
             if rewrite:
                 entries = state.window.all_entries()
             batch = _Batch(
@@ -102,11 +102,11 @@
                 state.window.compacted_index,
                 tuple(self._callback_by_key.values()),
             )
-            state.unwritten = []
+            state.unwritten_entries = []
             state.vote_unwritten = False
             self._rewrite_wanted = False
             self._callback_by_key = {}
-            self._busy = True
+            self._is_writing = True
         return batch
 
     def _write(self, batch: _Batch) -> None:
@@ -118,44 +118,46 @@
                     batch.compacted_index,
                     batch.entries,
                 )
-            elif batch.needed:
+            elif batch.has_changes:
                 self._storage.append(batch.term, batch.vote, batch.entries)
         except StorageUnavailable as error:
-            self._after_failure(error)
+            self._handle_failure(error)
             return
         with self._state.lock:
-            self._busy = False
+            self._is_writing = False
             if not self._state.storage_ok:
                 log_event('storage_recovered')
             self._state.storage_ok = True
             self._state.durable_term = batch.term
-            self._note_durable(batch)
+            self._advance_durable_index(batch)
             for callback in batch.callbacks:
                 callback()
             self._state.commit_by_quorum()
 
-    def _after_failure(self, error: StorageUnavailable) -> None:
+    def _handle_failure(self, error: StorageUnavailable) -> None:
         with self._state.lock:
-            self._busy = False
+            self._is_writing = False
             if self._state.storage_ok:
                 log_event('storage_failed', reason=str(error))
             self._state.storage_ok = False
             self._rewrite_wanted = True
             self._callback_by_key = {}
-            self._state.stand_down('storage failed')
+            self._state.step_down('storage failed')
             if not self._state.stopping:
                 self._state.writer_work.wait(_PAUSE_AFTER_FAILURE_S)
 
-    def _note_durable(self, batch: _Batch) -> None:
-        """Advance past entries that were not dropped meanwhile."""
+    def _advance_durable_index(self, batch: _Batch) -> None:
+        """Advance the durable index, unless entries were since dropped."""
         window = self._state.window
         if batch.rewrite and batch.compacted_index == window.compacted_index:
-            self._state.durable = max(
-                self._state.durable, batch.compacted_index
+            self._state.durable_index = max(
+                self._state.durable_index, batch.compacted_index
             )
         for entry in reversed(batch.entries):
             if not window.has_term_of(entry.index):
                 continue
             if window.term_at(entry.index) == entry.term:
-                self._state.durable = max(self._state.durable, entry.index)
+                self._state.durable_index = max(
+                    self._state.durable_index, entry.index
+                )
                 return
--- a/baobabgap/replication/tests/_faults.py
+++ b/baobabgap/replication/tests/_faults.py
@@ -1,4 +1,4 @@
-"""A data folder in memory whose disk can be made to fail."""
+"""A data folder in memory that injects disk faults."""
 
 import threading
 
@@ -7,17 +7,17 @@
 
 
 class FaultyFolder:
-    """Files in memory; what was not synced is torn by `crash`."""
+    """Files in memory; `crash` tears data that was not synced."""
 
     def __init__(self) -> None:
         self.content_by_name: dict[str, bytearray] = {}
         self.synced_by_name: dict[str, int] = {}
         self.locked = False
-        # Bytes that may still be written; None for no limit.
-        self.room: int | None = None
+        # The bytes that can still be written; None for no limit.
+        self.free_bytes: int | None = None
         # Whether each sync fails.
         self.sync_fails = False
-        # Syncs wait for this; cleared it makes a disk that hangs.
+        # Each sync waits for this event; clear it to make the disk hang.
         self.sync_gate = threading.Event()
         self.sync_gate.set()
 
@@ -56,17 +56,17 @@
         self.locked = False
 
     def crash(self) -> 'FaultyFolder':
-        """Return the folder as a loss of power leaves it.
+        """Return the folder as it is after a power loss.
 
-        Half of what was not synced is there: a torn write.
+        Half of the data that was not synced remains, as a torn write.
         """
-        left = FaultyFolder()
+        crashed = FaultyFolder()
         for name, content in list(self.content_by_name.items()):
             synced = self.synced_by_name.get(name, 0)
             torn = synced + (len(content) - synced) // 2
-            left.content_by_name[name] = content[:torn]
-            left.synced_by_name[name] = torn
-        return left
+            crashed.content_by_name[name] = content[:torn]
+            crashed.synced_by_name[name] = torn
+        return crashed
 
 
 class FaultyFile:
@@ -77,12 +77,12 @@
         self._content = folder.content_by_name[name]
 
     def append(self, data: bytes) -> None:
-        room = self._folder.room
-        if room is not None and len(data) > room:
-            self._content += data[:room]
+        free_bytes = self._folder.free_bytes
+        if free_bytes is not None and len(data) > free_bytes:
+            self._content += data[:free_bytes]
             raise OSError(28, 'No space left on device')
-        if room is not None:
-            self._folder.room = room - len(data)
+        if free_bytes is not None:
+            self._folder.free_bytes = free_bytes - len(data)
         self._content += data
 
     def sync(self) -> None:
--- a/baobabgap/replication/tests/_group.py
+++ b/baobabgap/replication/tests/_group.py
@@ -1,4 +1,4 @@
-"""A group of hosts in one process, over real links on the loopback."""
+"""A group of hosts in one process, with real links over loopback."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -32,7 +32,7 @@
 
 
 class ListMachine:
-    """Keeps all commands in order, so that hosts can be compared."""
+    """A state machine that keeps all commands, to compare hosts."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
@@ -48,35 +48,35 @@
         self.commands = snapshot.split(b'\n') if snapshot else []
 
 
-def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Wait, within a limit, until a condition holds."""
-    give_up_at = time.monotonic() + WAIT_LIMIT_S
+def wait_until(condition: Callable[[], bool], description: str) -> None:
+    """Wait until a condition holds; fail after `WAIT_LIMIT_S`."""
+    deadline = time.monotonic() + WAIT_LIMIT_S
     while not condition():
-        if time.monotonic() > give_up_at:
-            raise AssertionError(f'not within {WAIT_LIMIT_S} s: {what}')
+        if time.monotonic() > deadline:
+            raise AssertionError(f'not within {WAIT_LIMIT_S} s: {description}')
         time.sleep(0.005)
 
 
-class CutLink:
-    """The accepted end of a link that a silent cut can mute.
+class PartitionableConnection:
+    """The accepting side of a link that can drop all messages.
 
-    The link stays open, but what is sent over it gets lost.
+    In a silent partition the link stays open, but messages get lost.
     """
 
     def __init__(
-        self, connection: Connection, passes: Callable[[], bool]
+        self, connection: Connection, delivers: Callable[[], bool]
     ) -> None:
         self.peer = connection.peer
         self._connection = connection
-        self._passes = passes
+        self._delivers = delivers
 
     def send(self, *messages: object) -> None:
-        if self._passes():
+        if self._delivers():
             self._connection.send(*messages)
 
     def messages(self) -> Iterator[Any]:
         for message in self._connection.messages():
-            if self._passes():
+            if self._delivers():
                 yield message
 
     def close(self) -> None:
@@ -84,13 +84,13 @@
 
 
 class Host:
-    """One host that can be stopped, killed, cut off and restarted."""
+    """One host that can be stopped, killed, isolated and restarted."""
 
     def __init__(
         self,
         name: str,
         pool: ThreadPoolExecutor,
-        may_pass: Callable[[str, str], bool],
+        are_connected: Callable[[str, str], bool],
     ) -> None:
         self.name = name
         self.folder = FaultyFolder()
@@ -98,7 +98,7 @@
         self.log: ReplicatedLog | None = None
         self.configured: tuple[ControlHost, ...] = ()
         self._pool = pool
-        self._may_pass = may_pass
+        self._are_connected = are_connected
         self._links: set[Connection] = set()
         self.listener = Listener(
             '127.0.0.1',
@@ -138,21 +138,22 @@
         self.log.start()
 
     def kill(self) -> None:
-        """End without any farewell; what was not synced is lost."""
+        """Stop without closing; data that was not synced is lost."""
         old = self.folder
-        # What the old process still writes goes nowhere.
+        # The old process may still write to the old folder; the new one
+        # does not see it.
         self.folder = old.crash()
         old.sync_gate.set()
         log = self.running
         self.log = None
-        self.cut_links()
+        self.close_links()
         log.transfer_leadership = lambda: False  # type: ignore[method-assign]
         log.stop()
 
     def lose_disk(self) -> None:
         self.folder = FaultyFolder()
 
-    def cut_links(self) -> None:
+    def close_links(self) -> None:
         for link in list(self._links):
             link.close()
 
@@ -162,13 +163,13 @@
     def _serve(self, connection: Connection) -> None:
         log = self.log
         peer = connection.peer.name
-        if log is None or not self._may_pass(peer, self.name):
+        if log is None or not self._are_connected(peer, self.name):
             raise ConnectionLost('cut', step='test', peer=peer)
         self._links.add(connection)
         try:
             log.serve(
-                CutLink(  # type: ignore[arg-type]
-                    connection, lambda: self._may_pass(peer, self.name)
+                PartitionableConnection(  # type: ignore[arg-type]
+                    connection, lambda: self._are_connected(peer, self.name)
                 )
             )
         finally:
@@ -176,13 +177,13 @@
 
 
 class Group:
-    """Several hosts, and cuts between them."""
+    """Several hosts and the network partitions between them."""
 
     def __init__(self, size: int) -> None:
         self.pool = ThreadPoolExecutor(max_workers=400)
-        self.cuts: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
         self.hosts = [
-            Host(f'host-{number}', self.pool, self._may_pass)
+            Host(f'host-{number}', self.pool, self._are_connected)
             for number in range(1, size + 1)
         ]
         for host in self.hosts:
@@ -200,28 +201,28 @@
         self.pool.shutdown(wait=False, cancel_futures=True)
 
     def isolate(self, *hosts: Host, silently: bool = False) -> None:
-        """Cut the links between these hosts and all others.
+        """Partition these hosts from all others.
 
-        Silently: the links stay open, but nothing comes through.
+        In a silent partition the links stay open, but drop all messages.
         """
         inside = {host.name for host in hosts}
         for one in inside:
             for other in self.hosts:
                 if other.name not in inside:
-                    self.cuts.add(frozenset((one, other.name)))
+                    self.partitions.add(frozenset((one, other.name)))
         if not silently:
-            self._cut_all_links()
+            self._close_all_links()
 
     def heal(self) -> None:
-        self.cuts = set()
-        self._cut_all_links()
+        self.partitions = set()
+        self._close_all_links()
 
-    def _cut_all_links(self) -> None:
+    def _close_all_links(self) -> None:
         for host in self.hosts:
-            host.cut_links()
+            host.close_links()
 
     def leader(self, among: list[Host] | None = None) -> Host:
-        """Wait for the one leader of the highest term."""
+        """Wait until exactly one host leads, and return it."""
         found: list[Host] = []
 
         def one_leads() -> bool:
@@ -240,14 +241,14 @@
         return [host for host in self.hosts if host is not leader]
 
     def propose(self, *commands: bytes) -> None:
-        """Propose at the leader and wait for the results."""
+        """Propose commands to the leader and wait for the results."""
         log = self.leader().running
         futures = [log.propose(command) for command in commands]
         for future in futures:
             future.result(timeout=WAIT_LIMIT_S)
 
     def wait_for_commands(self, *hosts: Host) -> None:
-        """Wait until hosts have applied what the leader has."""
+        """Wait until hosts have applied the commands of the leader."""
         wanted = list(self.leader().machine.commands)
         for host in hosts or tuple(self.hosts):
             wait_until(
@@ -255,5 +256,5 @@
                 f'{host.name} has applied {len(wanted)} commands',
             )
 
-    def _may_pass(self, one: str, other: str) -> bool:
-        return frozenset((one, other)) not in self.cuts
+    def _are_connected(self, one: str, other: str) -> bool:
+        return frozenset((one, other)) not in self.partitions
--- a/baobabgap/replication/tests/test_election.py
+++ b/baobabgap/replication/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Who leads, and who must not disturb."""
+"""Elections, votes and leadership transfer, also with faults."""
 
 import time
 import unittest
@@ -12,7 +12,7 @@
 from baobabgap.replication.tests._group import WAIT_LIMIT_S
 from baobabgap.replication.tests._group import wait_until
 
-# Long enough for a host to seek election several times.
+# Long enough for a host to start several elections.
 SEVERAL_ELECTIONS_S = 6 * ELECTION_TIMEOUT_S
 
 
@@ -32,7 +32,7 @@
         answers: list[bool],
         pre_vote: bool = False,
     ) -> None:
-        """Ask one host as a candidate of a far later term would."""
+        """Request a vote as a candidate of a much later term."""
         request = VoteRequest(
             group=host.running._state.membership.group,
             term=1000,
@@ -44,11 +44,11 @@
         )
         log = host.running
         with log._state.lock:
-            log._election.consider(
+            log._election.handle_vote_request(
                 request, lambda answer: answers.append(answer.granted)
             )
 
-    def test_another_host_leads_after_a_death(self) -> None:
+    def test_another_host_leads_after_leader_is_killed(self) -> None:
         for size in (3, 5):
             with self.subTest(size=size):
                 group = self.make_group(size)
@@ -79,7 +79,9 @@
         group.isolate(old, silently=True)
         future = old.running.propose(b'lost')
         read = old.running.read_barrier()
-        wait_until(lambda: not old.running.is_leader, 'old leader is down')
+        wait_until(
+            lambda: not old.running.is_leader, 'the old leader steps down'
+        )
         with self.assertRaises(OutcomeUnknown):
             future.result(WAIT_LIMIT_S)
         with self.assertRaises(NotLeader):
--- a/baobabgap/replication/tests/test_lost_leader.py
+++ b/baobabgap/replication/tests/test_lost_leader.py
@@ -1,4 +1,4 @@
-"""A follower whose link from the leader has closed."""
+"""The election timer of a follower whose leader link has closed."""
 
 import time
 import unittest
@@ -22,16 +22,16 @@
 
     def test_waits_half_as_long_for_a_leader_whose_link_closed(self) -> None:
         before = time.monotonic()
-        self.state.lose_leader()
+        self.state.on_leader_link_closed()
         self.assertTrue(self.state.leader_is_recent())
         due_s = self.state.election_due_at - before
         self.assertGreaterEqual(due_s, TIMEOUT_S / 2)
-        # The scheduling of this test may add to it, but not a second.
+        # Scheduling may delay this test, but by less than a second.
         self.assertLess(due_s, TIMEOUT_S + 1)
 
     def test_leader_that_dials_again_is_followed_as_before(self) -> None:
-        """Or a closed link would let another host win an election."""
-        self.state.lose_leader()
+        """Otherwise a closed link lets another host win an election."""
+        self.state.on_leader_link_closed()
         before = time.monotonic()
         self.state.follow(1, 'leader')
         self.assertGreaterEqual(self.state.election_due_at - before, TIMEOUT_S)
@@ -39,7 +39,7 @@
     def test_wait_that_is_shorter_already_stays(self) -> None:
         due_at = time.monotonic() + 0.01
         self.state.election_due_at = due_at
-        self.state.lose_leader()
+        self.state.on_leader_link_closed()
         self.assertEqual(due_at, self.state.election_due_at)
 
 
--- a/baobabgap/replication/tests/test_random_faults.py
+++ b/baobabgap/replication/tests/test_random_faults.py
@@ -1,4 +1,7 @@
-"""Seeded random faults: nothing acknowledged is lost or reordered."""
+"""Random faults: no acknowledged command is lost or reordered.
+
+The faults follow from a seed.
+"""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -15,12 +18,12 @@
 from baobabgap.replication.tests._group import wait_until
 
 SEEDS = (11, 12)
-FAULTS = 7
-PENDING_AT_ONCE = 20
+FAULT_COUNT = 7
+COMMANDS_PER_BATCH = 20
 
 
 class Client(threading.Thread):
-    """Proposes numbered commands wherever a leader is, and keeps score."""
+    """Proposes numbered commands to each leader; records the outcomes."""
 
     def __init__(self, group: Group) -> None:
         super().__init__(daemon=True)
@@ -35,23 +38,23 @@
         while not self.ended.is_set():
             for host in self._group.hosts:
                 if host.log is not None and host.log.is_leader:
-                    self._propose_some(host)
+                    self._propose_batch(host)
             time.sleep(0.002)
 
-    def _propose_some(self, host: Host) -> None:
+    def _propose_batch(self, host: Host) -> None:
         log = host.log
         if log is None:
             return
         proposed: list[tuple[bytes, Future[Any]]] = []
-        for _ in range(PENDING_AT_ONCE):
+        for _ in range(COMMANDS_PER_BATCH):
             self._number += 1
             command = b'%06d' % self._number
             proposed.append((command, log.propose(command)))
         for command, future in proposed:
-            self._await(command, future)
+            self._record_outcome(command, future)
         self._read(host)
 
-    def _await(self, command: bytes, future: Future[Any]) -> None:
+    def _record_outcome(self, command: bytes, future: Future[Any]) -> None:
         while not future.done() and not self.ended.is_set():
             time.sleep(0.001)
         if not future.done():
@@ -75,8 +78,8 @@
             self.stale_reads += 1
 
 
-class Chaos:
-    """Injects one fault after the other and mends each."""
+class FaultInjector:
+    """Injects one fault after the other, and reverts each."""
 
     def __init__(self, group: Group, seed: int) -> None:
         self._group = group
@@ -85,35 +88,37 @@
     def run(self) -> None:
         faults: list[Callable[[Host], None]] = [
             self._kill,
-            self._cut,
-            self._cut_silently,
+            self._partition,
+            self._partition_silently,
             self._freeze,
             self._lose_disk,
             self._fail_sync,
-            self._hand_over,
+            self._transfer_leadership,
         ]
         self._random.shuffle(faults)
-        for fault in faults[:FAULTS]:
+        for fault in faults[:FAULT_COUNT]:
             host = self._random.choice(self._group.hosts)
             if self._random.random() < 0.6:
                 host = self._group.leader()
             fault(host)
             self._pause(1.0)
 
-    def _pause(self, most: float) -> None:
-        time.sleep(ELECTION_TIMEOUT_S * self._random.uniform(0.2, most))
+    def _pause(self, max_timeouts: float) -> None:
+        time.sleep(
+            ELECTION_TIMEOUT_S * self._random.uniform(0.2, max_timeouts)
+        )
 
     def _kill(self, host: Host) -> None:
         host.kill()
         self._pause(3.0)
         host.start()
 
-    def _cut(self, host: Host) -> None:
+    def _partition(self, host: Host) -> None:
         self._group.isolate(host)
         self._pause(4.0)
         self._group.heal()
 
-    def _cut_silently(self, host: Host) -> None:
+    def _partition_silently(self, host: Host) -> None:
         self._group.isolate(host, silently=True)
         self._pause(4.0)
         self._group.heal()
@@ -134,7 +139,7 @@
         self._pause(3.0)
         host.folder.sync_fails = False
 
-    def _hand_over(self, host: Host) -> None:
+    def _transfer_leadership(self, host: Host) -> None:
         host.running.transfer_leadership()
 
     def _is_voter(self, host: Host) -> bool:
@@ -145,20 +150,20 @@
 
 
 class RandomFaultTest(unittest.TestCase):
-    def test_hosts_agree_and_keep_what_was_acknowledged(self) -> None:
+    def test_hosts_agree_and_keep_acknowledged_commands(self) -> None:
         for seed in SEEDS:
             for size in (3,) if seed == SEEDS[0] else (5,):
                 with self.subTest(seed=seed, size=size):
-                    self.run_one(seed, size)
+                    self.run_seed(seed, size)
 
-    def run_one(self, seed: int, size: int) -> None:
+    def run_seed(self, seed: int, size: int) -> None:
         group = Group(size)
         self.addCleanup(group.close)
         group.start()
         group.propose(b'000000')
         client = Client(group)
         client.start()
-        Chaos(group, seed).run()
+        FaultInjector(group, seed).run()
         client.ended.set()
         client.join(30.0)
         group.propose(b'999999')
@@ -166,9 +171,15 @@
         commands = group.leader().machine.commands
         self.assertEqual(len(commands), len(set(commands)), 'applied once')
         applied = set(commands)
-        lost = [one for one in client.acknowledged if one not in applied]
+        lost = [
+            command
+            for command in client.acknowledged
+            if command not in applied
+        ]
         self.assertEqual([], lost, 'acknowledged and lost')
-        self.assertEqual(set(), client.refused & applied, 'refused, yet run')
+        self.assertEqual(
+            set(), client.refused & applied, 'refused, but applied'
+        )
         self.assertEqual(sorted(commands), commands, 'reordered')
         self.assertEqual(0, client.stale_reads)
         self.assertGreater(len(client.acknowledged), 100)
--- a/baobabgap/replication/tests/test_replication.py
+++ b/baobabgap/replication/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Commands reach every host, once acknowledged they stay."""
+"""Commands reach every host; acknowledged commands are never lost."""
 
 import time
 import unittest
@@ -19,7 +19,7 @@
         group.wait_for_commands()
         return group
 
-    def test_all_hosts_apply_the_same(self) -> None:
+    def test_all_hosts_apply_the_same_commands(self) -> None:
         for size in (1, 3, 5):
             with self.subTest(size=size):
                 group = self.make_group(size)
@@ -47,7 +47,9 @@
                 self.assertEqual(2, future.result(WAIT_LIMIT_S))
                 one.folder.sync_gate.set()
 
-    def test_acknowledged_survives_the_loss_of_power_everywhere(self) -> None:
+    def test_acknowledged_commands_survive_power_loss_on_all_hosts(
+        self,
+    ) -> None:
         group = self.make_group()
         group.propose(*(b'command-%d' % n for n in range(300)))
         wanted = list(group.leader().machine.commands)
@@ -58,23 +60,23 @@
         group.wait_for_commands()
         self.assertEqual([*wanted, b'last'], group.leader().machine.commands)
 
-    def test_leader_with_a_failing_disk_hands_over(self) -> None:
+    def test_leader_with_a_failing_disk_is_replaced(self) -> None:
         for fault in ('full disk', 'failing sync'):
             with self.subTest(fault=fault):
                 group = self.make_group()
                 old = group.leader()
                 if fault == 'full disk':
-                    old.folder.room = 10
+                    old.folder.free_bytes = 10
                 else:
                     old.folder.sync_fails = True
                 old.running.propose(b'doubtful')
-                wait_until(lambda: not old.running.is_leader, 'down')  # noqa
+                wait_until(lambda: not old.running.is_leader, 'step down')  # noqa
                 group.propose(b'second')
-                old.folder.room = None
+                old.folder.free_bytes = None
                 old.folder.sync_fails = False
                 group.wait_for_commands()
 
-    def test_read_point_sees_what_was_acknowledged_before(self) -> None:
+    def test_read_sees_commands_acknowledged_before_it(self) -> None:
         group = self.make_group()
         for number in range(30):
             group.propose(b'command-%d' % number)
@@ -98,7 +100,7 @@
                 leader = group.leader().running
                 wait_until(
                     lambda: leader.status().first_index > 100,  # noqa: B023
-                    'the leader has dropped old entries',
+                    'the leader has compacted old entries',
                 )
                 if fault == 'restart':
                     behind.start()
@@ -113,14 +115,14 @@
         host = group.hosts[0]
         for _ in range(40):
             group.propose(*(b'y' * 100 for _ in range(100)))
-            # The state itself grows in this machine; keep it small.
+            # The state of this machine grows with every command; clear it.
             host.machine.commands[:] = []
         wait_until(
             lambda: (
                 host.running.status().disk_bytes
                 < 4 * LIMITS.snapshot_after_bytes
             ),
-            'old entries are gone from the disk',
+            'old entries are removed from the disk',
         )
         status = host.running.status()
         held = status.last_index - status.first_index
--- a/baobabgap/replication/tests/test_store_identity.py
+++ b/baobabgap/replication/tests/test_store_identity.py
@@ -1,4 +1,8 @@
-"""A host with an empty disk must not count as if it remembered."""
+"""A host that lost its disk must not count with its old votes.
+
+A host without its votes and entries could otherwise help a host with an
+older log to win an election, and committed entries would be lost.
+"""
 
 import time
 import unittest
@@ -18,14 +22,14 @@
         self.addCleanup(group.close)
         return group
 
-    def repaired(self, group: Group, host: Host) -> bool:
+    def is_repaired(self, group: Group, host: Host) -> bool:
         status = group.leader().running.status()
         for member in status.members:
             if member.name == host.name:
                 return member.voter and (member.store == host.folder_identity)
         return False
 
-    def test_empty_host_does_not_vote_committed_entries_away(self) -> None:
+    def test_host_with_empty_disk_does_not_help_a_stale_one_lead(self) -> None:
         group = self.make_group()
         group.start()
         group.propose(b'first')
@@ -49,7 +53,7 @@
             [b'first', b'second', b'third'], group.leader().machine.commands
         )
 
-    def test_old_store_is_out_before_the_new_one_counts(self) -> None:
+    def test_old_store_is_removed_before_new_store_votes(self) -> None:
         group = self.make_group()
         group.start()
         group.propose(b'first')
@@ -65,7 +69,7 @@
         self.assertFalse(future.done())
         slow.folder.sync_gate.set()
         future.result(WAIT_LIMIT_S)
-        wait_until(lambda: self.repaired(group, lost), 'repair')
+        wait_until(lambda: self.is_repaired(group, lost), 'repair')
 
     def test_second_failure_right_after_the_repair(self) -> None:
         group = self.make_group()
@@ -78,7 +82,7 @@
                 lost.lose_disk()
                 group.propose(b'meanwhile-%d' % round_number)
                 lost.start()
-                wait_until(lambda: self.repaired(group, lost), 'repair')  # noqa
+                wait_until(lambda: self.is_repaired(group, lost), 'repair')  # noqa
                 wanted = list(group.leader().machine.commands)
                 group.leader().kill()
                 group.propose(b'after-%d' % round_number)
