--- a/baobabgap/replication/_applier.py
+++ b/baobabgap/replication/_applier.py
@@ -79,11 +79,11 @@
             with self._state.lock:
                 if not self._wait_for_work():
                     return
-                snapshot = self._snapshot_to_restore
+                to_restore = self._snapshot_to_restore
                 self._snapshot_to_restore = None
-                entries = [] if snapshot else self._next_entries()
-            if snapshot is not None:
-                self._restore(snapshot)
+                entries = [] if to_restore else self._next_entries()
+            if to_restore is not None:
+                self._restore(to_restore)
             else:
                 self._apply(entries)
             self._reads.complete_ready()
--- a/baobabgap/replication/_membership.py
+++ b/baobabgap/replication/_membership.py
@@ -19,7 +19,8 @@
     host: str
     # The port for internal links.
     port: int
-    # The identity of its data folder; empty if not known yet.
+    # The identity of the data folder that the group accepts from this
+    # host; empty until it has accepted one.
     store: str
     # Whether it counts toward a quorum; otherwise it is a learner.
     voter: bool
--- a/baobabgap/replication/_records.py
+++ b/baobabgap/replication/_records.py
@@ -88,7 +88,7 @@
     while offset < len(content):
         payload = _payload_at(content, offset, salt)
         if payload is None:
-            _check_nothing_valid_follows(path, content, offset, salt)
+            _check_no_valid_record_follows(path, content, offset, salt)
             break
         sequence = _sequence_at(content, offset)
         if sequence != len(records) + 1:
@@ -146,7 +146,7 @@
     return int(_RECORD_HEADER.unpack_from(content, offset)[1])
 
 
-def _check_nothing_valid_follows(
+def _check_no_valid_record_follows(
     path: str, content: bytes, offset: int, salt: int
 ) -> None:
     """Raise `DamagedLog` if a valid record follows an invalid one."""
--- a/baobabgap/replication/_session.py
+++ b/baobabgap/replication/_session.py
@@ -62,7 +62,7 @@
             if state.leader == self._connection.peer.name and (
                 not state.is_leader and not state.stopping
             ):
-                state.on_leader_link_closed()
+                state.handle_leader_link_closed()
 
     def _handle(self, message: Any) -> None:
         match message:
--- a/baobabgap/replication/_state.py
+++ b/baobabgap/replication/_state.py
@@ -146,7 +146,7 @@
         self.leader_heard_at = time.monotonic()
         self.postpone_election()
 
-    def on_leader_link_closed(self) -> None:
+    def handle_leader_link_closed(self) -> None:
         """Shorten the election timer, since the leader's link has closed.
 
         A leader that still runs reconnects immediately, so that its next
--- a/baobabgap/replication/tests/test_election.py
+++ b/baobabgap/replication/tests/test_election.py
@@ -1,4 +1,8 @@
-"""Elections, votes and leadership transfer, also with faults."""
+"""Elections, votes and leadership transfer.
+
+Guards against stale reads from a replaced leader, votes that are lost in
+a crash, and elections that a host causes when it returns.
+"""
 
 import time
 import unittest
--- a/baobabgap/replication/tests/test_lost_leader.py
+++ b/baobabgap/replication/tests/test_lost_leader.py
@@ -1,4 +1,8 @@
-"""The election timer of a follower whose leader link has closed."""
+"""The election timer of a follower whose leader link has closed.
+
+The leader may have failed, so that the follower waits half as long for
+it. A leader that reconnects must get the whole election timeout again.
+"""
 
 import time
 import unittest
@@ -22,7 +26,7 @@
 
     def test_waits_half_as_long_for_a_leader_whose_link_closed(self) -> None:
         before = time.monotonic()
-        self.state.on_leader_link_closed()
+        self.state.handle_leader_link_closed()
         self.assertTrue(self.state.leader_is_recent())
         due_s = self.state.election_due_at - before
         self.assertGreaterEqual(due_s, TIMEOUT_S / 2)
@@ -31,7 +35,7 @@
 
     def test_leader_that_dials_again_is_followed_as_before(self) -> None:
         """Otherwise a closed link lets another host win an election."""
-        self.state.on_leader_link_closed()
+        self.state.handle_leader_link_closed()
         before = time.monotonic()
         self.state.follow(1, 'leader')
         self.assertGreaterEqual(self.state.election_due_at - before, TIMEOUT_S)
@@ -39,7 +43,7 @@
     def test_wait_that_is_shorter_already_stays(self) -> None:
         due_at = time.monotonic() + 0.01
         self.state.election_due_at = due_at
-        self.state.on_leader_link_closed()
+        self.state.handle_leader_link_closed()
         self.assertEqual(due_at, self.state.election_due_at)
 
 
--- a/baobabgap/replication/tests/test_random_faults.py
+++ b/baobabgap/replication/tests/test_random_faults.py
@@ -172,9 +172,9 @@
         self.assertEqual(len(commands), len(set(commands)), 'applied once')
         applied = set(commands)
         lost = [
-            command
-            for command in client.acknowledged
-            if command not in applied
+            acknowledged
+            for acknowledged in client.acknowledged
+            if acknowledged not in applied
         ]
         self.assertEqual([], lost, 'acknowledged and lost')
         self.assertEqual(
--- a/baobabgap/replication/tests/test_storage.py
+++ b/baobabgap/replication/tests/test_storage.py
@@ -1,4 +1,8 @@
-"""Recovery of the data folder after disk faults and crashes."""
+"""Recovery of the data folder after disk faults and crashes.
+
+A torn write was never acknowledged and is discarded. Guards against a
+start with any other damage, which may affect acknowledged entries.
+"""
 
 import json
 import tempfile
