--- a/baobabgap/replication/tests/test_random_faults.py
+++ b/baobabgap/replication/tests/test_random_faults.py
@@ -172,9 +172,9 @@
         self.assertEqual(len(commands), len(set(commands)), 'applied once')
         applied = set(commands)
         lost = [
-            acknowledged
-            for acknowledged in client.acknowledged
-            if acknowledged not in applied
+            acknowledged_command
+            for acknowledged_command in client.acknowledged
+            if acknowledged_command not in applied
         ]
         self.assertEqual([], lost, 'acknowledged and lost')
         self.assertEqual(
