--- a/baobabgap/__init__.py
+++ b/baobabgap/__init__.py
@@ -1,7 +1,7 @@
 """A dispatcher for very short tasks that must start at most once.
 
-Each role of the system lives in a package of its own: `baobabgap.entry`,
-`baobabgap.agent` and `baobabgap.control`. They speak the typed messages
+Each role of the system has its own package: `baobabgap.entry`,
+`baobabgap.agent` and `baobabgap.control`. They exchange the typed messages
 of `baobabgap.messages` over `baobabgap.transport`.
 """
 
--- a/baobabgap/_exceptions.py
+++ b/baobabgap/_exceptions.py
@@ -1,16 +1,16 @@
-"""The errors of the package, each with the step and the peer.
+"""Exceptions of the package; each one records the step and the peer.
 
-An operator who reads one of these in a log or in an answer learns where
-in a job's life the error arose and which process was at the other end.
+Logs and answers show an operator at which stage of a job the error
+occurred and which process was the peer.
 """
 
 
 class BaobabgapError(Exception):
-    """The base of all errors that the package raises on purpose.
+    """The base class of the package's own exceptions.
 
     `step` names the stage that failed, such as `'claim'` or `'place'`.
-    `peer` names the process at the other end; it is empty for a purely
-    local error.
+    `peer` names the process at the other end; it is empty for a local
+    error.
     """
 
     def __init__(self, message: str, *, step: str, peer: str = '') -> None:
@@ -20,21 +20,21 @@
         self.peer = peer
 
     def __str__(self) -> str:
-        at_peer = f' (peer {self.peer})' if self.peer else ''
-        return f'{self.step}: {self.message}{at_peer}'
+        peer_suffix = f' (peer {self.peer})' if self.peer else ''
+        return f'{self.step}: {self.message}{peer_suffix}'
 
 
 class InvalidInput(BaobabgapError):
-    """Input from a caller or an operator that breaks the stated rules."""
+    """Input from a caller or an operator that is not valid."""
 
 
 class SettingsError(BaobabgapError):
-    """Settings that stop the start of a process."""
+    """Settings with which a process refuses to start."""
 
 
 class ProtocolMismatch(BaobabgapError):
-    """A peer sent bytes that are no message of the agreed protocol."""
+    """A peer sent data that does not conform to the protocol."""
 
 
 class ConnectionLost(BaobabgapError):
-    """A connection that was closed, or whose peer has gone silent."""
+    """A connection that can't be opened, was closed, or has a silent peer."""
