--- a/baobabgap/messages/__init__.py
+++ b/baobabgap/messages/__init__.py
@@ -1,4 +1,4 @@
-"""The typed messages between the processes, and their codec.
+"""Typed messages between the processes, and their codec.
 
 Importing this package registers every message with the codec.
 """
--- a/baobabgap/messages/_agent.py
+++ b/baobabgap/messages/_agent.py
@@ -1,14 +1,15 @@
 """Messages between an entry and an agent. The agent dials the entry.
 
-A slot token is the right to start one task on an upstream at once. The
-agent grants its idle slots to the entries; a token comes back to the
-entry with the result of the task, and entries pass idle tokens to each
+A slot token is the right to start one task on an upstream immediately.
+The agent grants its idle slots to the entries; a token returns to the
+entry with the result of the task, and entries transfer idle tokens to each
 other. A token belongs to a grant epoch: whenever the agent suspects that
-tokens were lost it starts a new epoch, and tokens of earlier ones are
-void. Tokens only avoid queues: the agent alone decides about starts, and
-a task that arrives with a void token waits there for a free slot. A result
-brings a token of the current epoch whenever the idle tokens and the tasks
-at the agent are fewer than the slots, and none otherwise.
+tokens were lost it starts a new epoch, which invalidates the tokens of
+earlier ones. Tokens only avoid queueing: the agent alone decides whether a
+task starts, and a task that arrives with an invalid token waits there for
+a free slot. A result returns a token of the current epoch whenever the
+idle tokens and the tasks at the agent are fewer than the slots, and none
+otherwise.
 """
 
 from dataclasses import dataclass
@@ -20,49 +21,49 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamOffer:
-    """What the agent's upstream can do; sent after `Hello`, on change.
+    """Capacity of the agent's upstream; sent after `Hello` and on change.
 
-    An upstream that is not accepting gets no new tasks, and entries drop
-    the tokens that they hold for it.
+    An upstream that is not accepting gets no new tasks, and entries
+    discard the tokens that they hold for it.
     """
 
     # The name of the upstream that announced itself to the agent.
     upstream: str
-    # How many tasks it runs at once.
+    # The number of tasks it runs concurrently.
     slots: int
-    # The largest task it can hold.
+    # The largest task it can run.
     capacity: TaskSize
     # Whether it takes new tasks.
     accepting: bool
-    # Why it takes none, for people; empty if it does.
+    # Human-readable reason why it takes none; empty if it takes tasks.
     reason: str = ''
-    # The rack that the upstream stands in.
+    # The rack of the upstream.
     rack: str = ''
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLoad:
-    """How busy the upstream is, each 100 ms under `least_reported` only.
+    """Load of the upstream, every 100 ms under `least_reported` only.
 
     Only the baseline policies need it; see `PlacementPolicy`.
     """
 
-    # Tasks that run.
+    # Running tasks.
     running: int
-    # Tasks that wait at the agent.
+    # Tasks queued at the agent.
     queued: int
 
 
 @dataclass(frozen=True, slots=True)
 class SlotGrant:
-    """The idle tokens that the entry holds from now on in this epoch.
+    """The number of idle tokens that the entry holds in this epoch.
 
     It replaces all idle tokens of earlier epochs for this agent.
     """
 
-    # Counts up with each redistribution by this agent's incarnation.
+    # Increases with each redistribution by this agent's incarnation.
     epoch: int
-    # How many idle tokens the receiver now holds.
+    # The number of idle tokens that the receiver now holds.
     tokens: int
 
 
@@ -72,9 +73,9 @@
 
     # The task's identifier within its job.
     task: str
-    # The sort of work.
+    # The kind of work.
     kind: str
-    # Handed to the upstream as it is.
+    # Passed to the upstream unchanged.
     payload: Any
     # The declared resources.
     size: TaskSize
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceTasks:
-    """Tasks of one job to start now, each with a token of `epoch`.
+    """Tasks of one job to start immediately, each with an `epoch` token.
 
     Resent unchanged after a reconnect; the agent starts each pair of job
     and task at most once.
@@ -109,13 +110,13 @@
 class TaskOutcome(StrEnum):
     """How a placed task ended at its agent."""
 
-    # Ran to its end and returned a value.
+    # Completed and returned a value.
     DONE = 'done'
     # Ran, and the upstream reported an error.
     FAILED = 'failed'
-    # Never started and never will by this placement.
+    # Not started, and will not be started by this placement.
     NOT_STARTED = 'not_started'
-    # Started, or may have, and what became of it can't be known.
+    # Started, or may have started, and its outcome can't be determined.
     LOST = 'lost'
 
 
@@ -127,13 +128,13 @@
     job: str
     # The task's identifier within its job.
     task: str
-    # How it ended.
+    # The outcome of the task.
     outcome: TaskOutcome
     # The value if done, else the reason as text.
     value: Any
     # Milliseconds from start to end on the upstream; 0 if never started.
     run_time_ms: float
-    # Whether the task's token returns to the receiver as idle.
+    # Whether the task's token returns to the receiver as an idle token.
     token_returns: bool
     # The grant epoch of that token.
     epoch: int
@@ -141,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskResults:
-    """Results that were ready together, oldest first."""
+    """A batch of results, oldest first."""
 
     # One element for each ended task.
     results: tuple[TaskResult, ...]
@@ -151,9 +152,9 @@
 class AcknowledgeResults:
     """The entry has these results; the agent need not resend them.
 
-    Until then the agent's answer for a task stays the same, also if the
-    task is placed there anew; so acknowledge `NOT_STARTED` before placing
-    the task again with the same agent.
+    Until the acknowledgement the agent repeats its answer for a task, also
+    if the task is placed there again; so acknowledge `NOT_STARTED` before
+    placing the task again with the same agent.
     """
 
     # Pairs of job and task identifiers.
@@ -162,9 +163,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelJobs:
-    """Drop what has not started of these jobs, and stop what has.
+    """Discard the queued tasks of these jobs and stop the running ones.
 
-    The agent answers each of the tasks concerned with its `TaskResult`.
+    The agent answers each of these tasks with its `TaskResult`.
     """
 
     # Identifiers of jobs.
@@ -173,13 +174,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeTasks:
-    """Sent by the entry on each new link: what it still waits for.
+    """The tasks that an entry still waits for; sent on each new link.
 
     For each task listed that the agent neither runs, queues, nor has a
     result for, the agent answers `NOT_STARTED` if it can prove that, and
     `LOST` if it can't, for example if both it and its upstream have
     restarted. An agent that has just restarted answers once its upstream
-    has bound itself to it.
+    is bound to it.
     """
 
     # The agent's incarnation that the tasks were placed with.
--- a/baobabgap/messages/_codec.py
+++ b/baobabgap/messages/_codec.py
@@ -1,8 +1,8 @@
-"""Messages to bytes and back: CBOR frames of typed messages.
+"""Encodes typed messages into CBOR frames and decodes them.
 
 A frame is a CBOR array of messages; each message is an array of the
-name of its data class and a map of its fields. Several messages travel
-in one frame whenever they were waiting together.
+name of its data class and a map of its fields. Messages that are queued
+at the same time share a frame.
 """
 
 from collections.abc import Sequence
@@ -23,22 +23,22 @@
 
 
 def register(*message_classes: type) -> None:
-    """Make data classes known to the codec under their own names.
+    """Register data classes with the codec under their class names.
 
     Raises `ValueError` for a second class of the same name.
     """
     for message_class in message_classes:
         name = message_class.__name__
-        held = _class_by_name.setdefault(name, message_class)
-        if held is not message_class:
+        registered = _class_by_name.setdefault(name, message_class)
+        if registered is not message_class:
             raise ValueError(
-                f'{name} is registered by {held.__module__} already; '
+                f'{name} is already registered by {registered.__module__}; '
                 f'{message_class.__module__} needs another name'
             )
 
 
 def _adapter(message_class: type) -> TypeAdapter[Any]:
-    """Build the adapter at first use and keep it."""
+    """Return the cached adapter of a class; build it on first use."""
     adapter = _adapter_by_class.get(message_class)
     if adapter is None:
         adapter = TypeAdapter(message_class)
@@ -47,7 +47,7 @@
 
 
 def encode(messages: Sequence[object]) -> bytes:
-    """Pack messages into one frame."""
+    """Encode messages into one frame."""
     return cbor2.dumps(
         [
             [
@@ -60,12 +60,12 @@
 
 
 def decode(frame: bytes, *, peer: str) -> list[Any]:
-    """Unpack a frame; raise `ProtocolMismatch` for anything unknown."""
+    """Decode a frame; raise `ProtocolMismatch` if it is not valid."""
     try:
         pairs = cbor2.loads(frame)
     except Exception as error:
         raise ProtocolMismatch(
-            f'{len(frame)} bytes that are no CBOR: {error}',
+            f'frame of {len(frame)} bytes is not valid CBOR: {error}',
             step='decode',
             peer=peer,
         ) from error
@@ -91,8 +91,8 @@
     try:
         return _adapter(_class_by_name[name]).validate_python(fields)
     except ValidationError as error:
-        details = error.errors(include_url=False, include_input=False)
-        place = '.'.join(str(part) for part in details[0]['loc'])
+        errors = error.errors(include_url=False, include_input=False)
+        location = '.'.join(str(part) for part in errors[0]['loc'])
         raise ProtocolMismatch(
-            f'{name}.{place}: {details[0]["msg"]}', step='decode', peer=peer
+            f'{name}.{location}: {errors[0]["msg"]}', step='decode', peer=peer
         ) from error
--- a/baobabgap/messages/_common.py
+++ b/baobabgap/messages/_common.py
@@ -1,4 +1,4 @@
-"""Messages that travel on every link."""
+"""Messages that every link uses."""
 
 from dataclasses import dataclass
 
@@ -7,19 +7,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Says that the sender's application, not just its host, is alive."""
+    """Shows that the sender's application, not just its host, is alive."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
     """The first message on a link, in both directions.
 
-    The receiver closes the link if the version is not its own.
+    The receiver closes the link if the protocol versions differ.
     """
 
     # The sender's name from its settings.
     name: str
-    # What the sender is: entry, agent, control or tool.
+    # The role of the sender: entry, agent, control or tool.
     role: str
     # Different at each start of the process.
     incarnation: str
@@ -27,5 +27,5 @@
     address: str = ''
     # The sender's availability zone.
     availability_zone: str = ''
-    # The version of the protocol that the sender speaks.
+    # The protocol version of the sender.
     protocol_version: int = PROTOCOL_VERSION
--- a/baobabgap/messages/_control.py
+++ b/baobabgap/messages/_control.py
@@ -1,7 +1,7 @@
 """Messages between a member (entry, agent, tool) and a control host.
 
 The member dials any control host and may send any request there; a
-follower passes requests on to the leader.
+follower forwards requests to the leader.
 """
 
 from dataclasses import dataclass
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Asks for all changes after a version, now and as they come.
+    """Subscribes to all changes after a version, past and future ones.
 
-    A member that restarted with nothing sends version 0 and gets one
-    whole snapshot.
+    A member that restarted without state sends version 0 and gets one
+    full snapshot.
     """
 
     # The last version that the member has applied; 0 for none.
     version: int
-    # Roles whose members the subscriber wants to hear of.
+    # Roles of the members whose changes the subscriber gets.
     member_roles: tuple[str, ...]
 
 
@@ -37,15 +37,15 @@
     address: str
     # Its availability zone.
     availability_zone: str
-    # False once it has left or is taken for dead.
+    # False once it has left or is considered dead.
     alive: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationEntry:
-    """The whole state of one key, as its latest ticket left it."""
+    """The full state of one key, as set by its latest ticket."""
 
-    # What the ticket touched, such as quota/rowing or policy.
+    # The key that the ticket set, such as quota/rowing or policy.
     key: str
     # The number of the ticket.
     ticket: int
@@ -55,9 +55,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed after `from_version` up to `to_version`."""
+    """The changes after `from_version` up to and with `to_version`."""
 
-    # The version that the receiver must have; 0 for a whole snapshot.
+    # The version that the receiver must have; 0 for a full snapshot.
     from_version: int
     # The version that the receiver has after applying this.
     to_version: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberReport:
-    """What a member tells its control host now and then."""
+    """Periodic report of a member to its control host."""
 
     # The version of the configuration in force at the member.
     version: int
@@ -77,23 +77,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """One entry's wish to be the only one that starts a job's tasks."""
+    """An entry's request for the exclusive right to start a job's tasks."""
 
     # The job's identifier.
     job: str
     # The digest of the job's content.
     digest: bytes
-    # Fencing token: chosen anew by the entry for each submission that it
-    # admits, so that a resent claim can be told from a second one.
+    # Fencing token: the entry chooses a new one for each submission that
+    # it admits, which distinguishes a resent claim from a second one.
     token: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimJobs:
-    """Claims that an entry makes together; durable before answered.
+    """A batch of claims of an entry; durable before it is answered.
 
-    With `lookup_only` nothing is claimed: the outcomes tell what a claim
-    would have met, as of a moment after the request was sent.
+    With `lookup_only` nothing is claimed: the outcomes show the state that
+    a claim would find, as of some time after the request was sent.
     """
 
     # Chosen by the sender to match the answer.
@@ -106,22 +106,22 @@
     owner_address: str
     # The jobs.
     claims: tuple[Claim, ...]
-    # True to only look.
+    # Whether to look up the owners without claiming.
     lookup_only: bool = False
 
 
 class ClaimStatus(StrEnum):
-    """What became of a claim."""
+    """The result of a claim."""
 
-    # The sender's incarnation owns the job with this very token; also the
+    # The sender's incarnation owns the job with the same token; also the
     # answer to a resend of the same claim.
     GRANTED = 'granted'
-    # A lookup found that nobody owns the job.
+    # A lookup found no owner of the job.
     UNCLAIMED = 'unclaimed'
     # Another entry, an earlier incarnation, or the same one with another
     # token owns the job.
     OWNED = 'owned'
-    # The same identifier was claimed with other content. The outcome
+    # The same identifier was claimed with different content. The outcome
     # names the owner here too. A lookup with an empty digest never
     # conflicts.
     CONFLICT = 'conflict'
@@ -131,11 +131,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimOutcome:
-    """What became of one claim, and who owns the job."""
+    """The result of one claim, and the owner of the job."""
 
     # The job's identifier.
     job: str
-    # What became of the claim.
+    # The result of the claim.
     status: ClaimStatus
     # The owner's name, or empty.
     owner: str = ''
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseClaims:
-    """The owner gives up claims of jobs of which it started nothing."""
+    """The owner releases claims of jobs of which it started no task."""
 
     # The entry that owns the claims.
     owner: str
@@ -165,8 +165,8 @@
     owner_incarnation: str
     # Identifiers of jobs.
     jobs: tuple[str, ...]
-    # Numbered together with the sender's `ClaimJobs`, so that a release
-    # that was overtaken by a later claim has no effect.
+    # Shares its numbering with the sender's `ClaimJobs`, so that a release
+    # that arrives after a later claim has no effect.
     request: int = 0
 
 
@@ -178,43 +178,43 @@
     request: int
     # The ticket's number; must exceed that of the newest ticket.
     number: int
-    # The whole new state of each key that the ticket touches.
+    # The full new state of each key that the ticket sets.
     state_by_key: dict[str, Any]
 
 
 class TicketStatus(StrEnum):
-    """What became of a ticket."""
+    """The result of a ticket."""
 
     ACCEPTED = 'accepted'
-    # Another ticket with the same number won.
+    # Another ticket with the same number was accepted.
     LOST = 'lost'
-    # The number is behind that of the newest ticket.
+    # The number is lower than that of the newest ticket.
     STALE = 'stale'
-    # The content breaks the rules.
+    # The content is not valid.
     INVALID = 'invalid'
 
 
 @dataclass(frozen=True, slots=True)
 class TicketOutcome:
-    """The answer to `PutTicket`; the same one for a resent ticket."""
+    """The answer to `PutTicket`; a resent ticket gets the same answer."""
 
     # The number of the request that is answered.
     request: int
-    # What became of the ticket.
+    # The result of the ticket.
     status: TicketStatus
     # The number of the newest accepted ticket.
     newest_number: int
-    # The version at which the ticket is in force, if accepted.
+    # The version at which the ticket takes effect, if accepted.
     version: int
-    # Why, for a person.
+    # Human-readable reason.
     message: str
-    # The content of the accepted ticket with that number, if lost.
+    # If lost, the content of the accepted ticket with that number.
     winner: dict[str, Any] | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class QueryControl:
-    """Asks for a page that the operators' tool shows."""
+    """Requests a page for the operators' tool."""
 
     # Chosen by the sender to match the answer.
     request: int
@@ -234,22 +234,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlUnavailable:
-    """The request was not carried out, or it isn't known whether it was.
+    """The request was not executed, or it is unknown whether it was.
 
-    Answers any request while there is no leader that a majority follows.
+    The answer to any request while no leader has a majority.
     """
 
     # The number of the request that is answered.
     request: int
-    # Why, for a person.
+    # Human-readable reason.
     message: str
-    # True if the request certainly changed nothing.
+    # Whether it is certain that the request changed nothing.
     unchanged: bool
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderHint:
-    """Where the leader is; requests sent there save one hop."""
+    """The address of the leader; requests sent there save one hop."""
 
     # The leader's name.
     leader: str
@@ -259,15 +259,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The member is about to stop as planned and takes no new work."""
+    """The member is about to shut down and takes no new work."""
 
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
     """Another process with the receiver's name has joined after it.
 
-    The receiver is a member no more and must take no new work.
+    The receiver is no longer a member and must take no new work.
     """
 
-    # The incarnation that is the member now.
+    # The incarnation that is now the member.
     incarnation: str
--- a/baobabgap/messages/_entry.py
+++ b/baobabgap/messages/_entry.py
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryState:
-    """How much work waits at the sender and how many tokens lie idle.
+    """Backlog and idle tokens of the sender.
 
-    Sent on change, a few milliseconds apart at the least. Times are
-    relative to the moment of sending, so that no clocks are compared.
+    Sent on change, at least a few milliseconds apart. Times are relative
+    to the time of sending, so that clocks of hosts are not compared.
     """
 
     # Claimed tasks that wait for a token.
     backlog_tasks: int
     # Milliseconds until the virtual deadline of the most urgent waiting
-    # task; negative if it has passed.
+    # task; negative if the deadline has passed.
     head_slack_ms: float
-    # Idle tokens that the sender holds, all upstreams together.
+    # Idle tokens that the sender holds, over all upstreams.
     idle_tokens: int
     # Learned run time of all waiting and running tasks, in milliseconds.
     outstanding_work_ms: float
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenTransfer:
-    """Idle tokens of one agent that now belong to the receiver."""
+    """Transfers idle tokens of one agent to the receiver."""
 
     # The agent's name.
     agent: str
@@ -34,23 +34,23 @@
     agent_incarnation: str
     # The grant epoch of the tokens.
     epoch: int
-    # How many tokens change hands.
+    # The number of tokens transferred.
     tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class TeamDemand:
-    """Tasks asked for by one team at the sender since its last report."""
+    """The demand of one team at the sender, as of this report."""
 
     # The team's name.
     team: str
-    # Demand in tasks a second, averaged by the sender.
+    # Demand in tasks per second, averaged by the sender.
     tasks_per_second: float
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaDemand:
-    """The sender's share of demand for each team that it heard from."""
+    """The sender's part of the demand of each team that it serves."""
 
     # Only teams whose demand changed since the last report.
     teams: tuple[TeamDemand, ...]
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinJob:
-    """Asks the owner of a job for its answer, once there is one."""
+    """Asks the owner of a job for its answer, once it is available."""
 
     # Chosen by the sender to match the answer.
     request: int
@@ -80,6 +80,6 @@
 
     # The number of the request that is answered.
     request: int
-    # The job's end, or None if the receiver has no such job and can't
-    # tell what became of it.
+    # The job's answer, or None if the receiver does not know the job and
+    # can't determine its outcome.
     answer: JobAnswer | None
--- a/baobabgap/messages/_relay.py
+++ b/baobabgap/messages/_relay.py
@@ -1,7 +1,7 @@
-"""Messages between a following control host and the leader.
+"""Messages between a follower of the control group and the leader.
 
-The follower dials the leader with the role `relay` and passes on what
-its own members ask for.
+The follower dials the leader with the role `relay` and forwards the
+requests of its own members.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
     request: int
     # The command or query, as `baobabgap.control` encodes it.
     command: bytes
-    # True for a query, which leaves no trace in the log.
+    # Whether this is a query, which is not appended to the log.
     is_query: bool = False
 
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayReports:
-    """Versions in force at members of the sender, where they changed."""
+    """Changed configuration versions of the members of the sender."""
 
-    # Version by the member's name.
+    # The version in force at each member, by its name.
     version_by_member: dict[str, int]
--- a/baobabgap/messages/tests/test_codec.py
+++ b/baobabgap/messages/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the codec: round trips, and bytes that are no messages."""
+"""Tests of the codec: round trips and malformed frames."""
 
 import unittest
 
@@ -15,10 +15,14 @@
 
 
 class TestCodec(unittest.TestCase):
-    """Whatever arrives is either a typed message or a clear error."""
+    """A received frame decodes to typed messages or raises an error.
+
+    Callers handle only `ProtocolMismatch`; any other exception from a
+    malformed frame would end the receiving task.
+    """
 
     def test_round_trip(self) -> None:
-        placed = PlaceTasks(
+        placement = PlaceTasks(
             job='kurek.1.a',
             owner_incarnation='i',
             agent_incarnation='g',
@@ -28,10 +32,10 @@
                 TaskPlacement('t', 'seat', {'crew': [1, 2]}, TaskSize(1.5)),
             ),
         )
-        messages = [placed, SlotGrant(1, 2)]
+        messages = [placement, SlotGrant(1, 2)]
         self.assertEqual(messages, decode(encode(messages), peer='p'))
 
-    def test_bad_frames(self) -> None:
+    def test_malformed_frames_raise_protocol_mismatch(self) -> None:
         cases = {
             'no cbor': b'\xff\xff\xff',
             'empty': b'',
@@ -50,11 +54,15 @@
                 self.assertEqual('agent-7', caught.exception.peer)
                 self.assertEqual('decode', caught.exception.step)
 
-    def test_two_classes_of_one_name_are_refused(self) -> None:
-        """Regression: the later one took the earlier one's messages."""
-        other = type('SlotGrant', (), {})
+    def test_second_class_of_a_name_is_refused(self) -> None:
+        """Guards against a class that replaces one of the same name.
+
+        The codec then decoded the messages of the first class as the
+        second one.
+        """
+        duplicate = type('SlotGrant', (), {})
         with self.assertRaisesRegex(ValueError, 'registered by'):
-            register(other)
+            register(duplicate)
         self.assertIsInstance(
             decode(encode([SlotGrant(1, 2)]), peer='a')[0], SlotGrant
         )
