--- a/baobabgap/transport/_connection.py
+++ b/baobabgap/transport/_connection.py
@@ -1,9 +1,9 @@
 """One link between two processes: typed messages over a WebSocket.
 
 Sending never blocks the caller: messages go to a queue that one task
-drains, so that whatever waits together travels in one frame. Receiving
-is an iterator that ends with `ConnectionLost` when the peer closes the
-link or has sent nothing, not even a heartbeat, for the silence limit.
+drains, and messages queued at the same time share a frame. Receiving is
+an iterator that raises `ConnectionLost` when the peer closes the link or
+has sent nothing, not even a heartbeat, for the silence limit.
 """
 
 from collections.abc import Iterator
@@ -29,13 +29,13 @@
 from baobabgap.transport._traffic import PROCESS_TRAFFIC
 
 _MAXIMUM_MESSAGES_IN_FRAME: Final = 256
-# Most frames of a quiet link are this one; it is packed only once.
+# Idle links send mostly this frame, so it is encoded only once.
 _HEARTBEAT: Final = Heartbeat()
 _HEARTBEAT_FRAME: Final = encode([_HEARTBEAT])
 
 
 class WebSocket(Protocol):
-    """What this module needs of a synchronous WebSocket connection."""
+    """The methods of a synchronous WebSocket that this module uses."""
 
     def send(self, message: bytes) -> None:
         """Send one binary message."""
@@ -49,21 +49,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkTiming:
-    """How often a link says that it is alive, and when it is given up."""
+    """Heartbeat interval and silence limit of a link."""
 
-    # Seconds after which an idle link sends a heartbeat.
+    # Seconds without an outgoing message before a heartbeat is sent.
     heartbeat_s: float = 0.5
-    # Seconds without any message after which the peer counts as gone.
+    # Seconds without any message after which the link counts as lost.
     silence_s: float = 2.0
 
 
 class Connection:
     """A link whose `Hello` messages have been exchanged.
 
-    Build one with `open_link`, which the dialling and the accepting side
-    both use::
+    Both the dialling and the accepting side create one with
+    `open_link`::
 
-        connection = Connection.open_link(socket, own, timing, pool)
+        connection = Connection.open_link(socket, own_hello, timing, pool)
         connection.send(SlotGrant(epoch=1, tokens=8))
         for message in connection.messages():
             ...
@@ -85,18 +85,21 @@
     def open_link(
         cls,
         socket: WebSocket,
-        own: Hello,
+        own_hello: Hello,
         timing: LinkTiming,
         pool: Executor,
     ) -> 'Connection':
-        """Exchange `Hello`s and start the task that sends.
+        """Exchange `Hello` messages and start the sending task.
 
-        Raises `ConnectionLost` if the link ends meanwhile.
+        Raises `ConnectionLost` if the link ends meanwhile, and
+        `ProtocolMismatch` if the peer sends no valid `Hello`.
         """
         try:
-            socket.send(encode([own]))
+            socket.send(encode([own_hello]))
         except (ConnectionClosed, OSError) as error:
-            raise ConnectionLost(f'no hello: {error}', step='hello') from error
+            raise ConnectionLost(
+                f'cannot send Hello: {error}', step='hello'
+            ) from error
         peer = _receive_hello(socket, timing)
         connection = cls(socket, peer, timing)
         pool.submit(connection._send_loop)
@@ -108,26 +111,27 @@
         return self._closed.is_set()
 
     def use_timing(self, timing: LinkTiming) -> None:
-        """Change the pace; the peer must have been told the same."""
+        """Change the timing; the peer must use the same values."""
         self._timing = timing
 
     def send(self, *messages: object) -> None:
-        """Queue messages for sending; dropped if the link is closed."""
+        """Queue messages; they are dropped if the link is closed."""
         for message in messages:
             self._outgoing.put(message)
 
     def close(self) -> None:
-        """Close the link; the peer sees the end of it at once."""
+        """Close the link, which the peer notices at once."""
         if self._closed.is_set():
             return
         self._closed.set()
         self._outgoing.put(None)
-        # A peer that is frozen never answers the closing handshake.
+        # A frozen peer never answers the closing handshake, so a thread of
+        # its own waits for it.
         closer = threading.Thread(target=self._socket.close, daemon=True)
         closer.start()
 
     def flush_and_close(self, timeout_s: float = 2.0) -> None:
-        """Send what is queued, then close."""
+        """Send the queued messages within the timeout, then close."""
         flushed = threading.Event()
         self._outgoing.put(flushed)
         flushed.wait(timeout_s)
@@ -193,7 +197,7 @@
         return decode(frame, peer=self.peer.name)
 
     def _heartbeat_pause_s(self) -> float:
-        """Vary the pause, so that many links don't beat in step."""
+        """Return a random pause, so that links don't send at the same time."""
         return self._timing.heartbeat_s * random.uniform(0.8, 1.0)
 
     def _send_frame(self, batch: list[object]) -> None:
@@ -207,9 +211,11 @@
     try:
         frame = socket.recv(timeout=timing.silence_s)
     except (TimeoutError, ConnectionClosed) as error:
-        raise ConnectionLost(f'no hello: {error}', step='hello') from error
+        raise ConnectionLost(
+            f'no Hello received: {error}', step='hello'
+        ) from error
     if not isinstance(frame, bytes):
-        raise ProtocolMismatch('text in place of a hello', step='hello')
+        raise ProtocolMismatch('received text instead of Hello', step='hello')
     messages = decode(frame, peer='unknown')
     if len(messages) != 1 or not isinstance(messages[0], Hello):
         raise ProtocolMismatch('the first message must be Hello', step='hello')
@@ -217,7 +223,7 @@
     if hello.protocol_version != PROTOCOL_VERSION:
         raise ProtocolMismatch(
             f'protocol version {hello.protocol_version}; '
-            f'this process speaks {PROTOCOL_VERSION}',
+            f'this process supports {PROTOCOL_VERSION} only',
             step='hello',
             peer=hello.name,
         )
--- a/baobabgap/transport/_dialer.py
+++ b/baobabgap/transport/_dialer.py
@@ -1,4 +1,4 @@
-"""The dialling side of a link, with reconnects."""
+"""The dialling side of a link, with automatic reconnects."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -16,12 +16,12 @@
 from baobabgap.transport._connection import Connection
 from baobabgap.transport._connection import LinkTiming
 
-_FIRST_PAUSE_S: Final = 0.05
-_LONGEST_PAUSE_S: Final = 1.0
+_INITIAL_RETRY_DELAY_S: Final = 0.05
+_MAX_RETRY_DELAY_S: Final = 1.0
 
 
 def dial(
-    address: str, own: Hello, timing: LinkTiming, pool: Executor
+    address: str, own_hello: Hello, timing: LinkTiming, pool: Executor
 ) -> Connection:
     """Open one link to `host:port`; raise `ConnectionLost` if it fails."""
     try:
@@ -39,77 +39,78 @@
             f'cannot connect: {error}', step='dial', peer=address
         ) from error
     try:
-        return Connection.open_link(socket, own, timing, pool)
+        return Connection.open_link(socket, own_hello, timing, pool)
     except BaobabgapError:
         threading.Thread(target=socket.close, daemon=True).start()
         raise
 
 
 class Dialer:
-    """One task that keeps a link to one address open until stopped.
+    """Keeps a link to one address open until stopped.
 
-    `session` runs with each new link and returns or raises when it ends;
-    after it the dialer waits a little, longer after each failure in a
-    row, and dials again.
+    `session` runs with each new link and returns or raises when the link
+    ends. The dialer then dials again after a delay, which doubles with
+    each consecutive failure. `on_error` gets each error of a session or
+    of an attempt to dial.
     """
 
     def __init__(
         self,
         address: str,
-        own: Hello,
+        own_hello: Hello,
         timing: LinkTiming,
         pool: Executor,
         session: Callable[[Connection], None],
         on_error: Callable[[BaobabgapError], None] | None = None,
     ) -> None:
         self._address = address
-        self._own = own
+        self._own_hello = own_hello
         self._timing = timing
         self._pool = pool
         self._session = session
         self._on_error = on_error
         self._stopping = threading.Event()
-        self._current: Connection | None = None
+        self._connection: Connection | None = None
 
     @property
     def is_connected(self) -> bool:
-        """Tell whether there is a link now."""
-        return self._current is not None
+        """Tell whether a link is open."""
+        return self._connection is not None
 
     def start(self) -> None:
-        """Begin dialling in a task of the pool."""
+        """Start dialling in a task of the pool."""
         self._pool.submit(self._run)
 
     def stop(self) -> None:
-        """Close the link, if any, and dial no more."""
+        """Stop dialling and close the link, if any."""
         self._stopping.set()
-        current = self._current
-        if current is not None:
-            current.close()
+        connection = self._connection
+        if connection is not None:
+            connection.close()
 
     def _run(self) -> None:
-        pause_s = _FIRST_PAUSE_S
+        delay_s = _INITIAL_RETRY_DELAY_S
         while not self._stopping.is_set():
             if self._run_once():
-                pause_s = _FIRST_PAUSE_S
+                delay_s = _INITIAL_RETRY_DELAY_S
             else:
-                pause_s = min(2 * pause_s, _LONGEST_PAUSE_S)
-            self._stopping.wait(pause_s * random.uniform(0.5, 1.0))
+                delay_s = min(2 * delay_s, _MAX_RETRY_DELAY_S)
+            self._stopping.wait(delay_s * random.uniform(0.5, 1.0))
 
     def _run_once(self) -> bool:
-        """Hold one link to its end; tell whether it was ever open."""
+        """Run a session on one link; tell whether the link was opened."""
         opened = False
         try:
             connection = dial(
-                self._address, self._own, self._timing, self._pool
+                self._address, self._own_hello, self._timing, self._pool
             )
             opened = True
-            self._current = connection
+            self._connection = connection
             try:
                 if not self._stopping.is_set():
                     self._session(connection)
             finally:
-                self._current = None
+                self._connection = None
                 connection.close()
         except BaobabgapError as error:
             if self._on_error is not None:
--- a/baobabgap/transport/_listener.py
+++ b/baobabgap/transport/_listener.py
@@ -1,4 +1,4 @@
-"""The accepting side of links."""
+"""The accepting side of a link."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -18,21 +18,21 @@
 class Listener:
     """Accepts links on one port and runs a session for each.
 
-    `session` gets each link after its `Hello`; an error that it raises
-    closes that link alone and is handed to `on_error`.
+    `session` gets each link after the exchange of `Hello`; an error that
+    it raises closes only that link and is passed to `on_error`.
     """
 
     def __init__(
         self,
         host: str,
         port: int,
-        own: Callable[[], Hello],
+        make_hello: Callable[[], Hello],
         timing: LinkTiming,
         pool: Executor,
         session: Callable[[Connection], None],
         on_error: Callable[[BaobabgapError], None] | None = None,
     ) -> None:
-        self._own = own
+        self._make_hello = make_hello
         self._timing = timing
         self._pool = pool
         self._session = session
@@ -50,22 +50,22 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on, also if 0 was asked for."""
+        """The port in use, also if port 0 was requested."""
         address: Any = self._server.socket.getsockname()
         return int(address[1])
 
     def start(self) -> None:
-        """Begin accepting in a task of the pool."""
+        """Start accepting in a task of the pool."""
         self._pool.submit(self._server.serve_forever)
 
     def stop(self) -> None:
-        """Accept no more; open links stay open."""
+        """Stop accepting; open links stay open."""
         self._server.shutdown()
 
     def _handle(self, socket: ServerConnection) -> None:
         try:
             connection = Connection.open_link(
-                socket, self._own(), self._timing, self._pool
+                socket, self._make_hello(), self._timing, self._pool
             )
             try:
                 self._session(connection)
--- a/baobabgap/transport/_traffic.py
+++ b/baobabgap/transport/_traffic.py
@@ -1,4 +1,4 @@
-"""How many messages and bytes this process has exchanged."""
+"""Counters of messages and bytes on the links of this process."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 
 
 class Traffic:
-    """Counts over all links of the process, open and closed."""
+    """Counters over all links of the process, open and closed."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -18,19 +18,19 @@
     def count_received(
         self, messages: Sequence[object], frame_bytes: int
     ) -> None:
-        """Add the messages of one received frame."""
+        """Count the messages and bytes of one received frame."""
         with self._lock:
             self._bytes_received += frame_bytes
             for message in messages:
                 self._received_by_kind[type(message).__name__] += 1
 
     def count_sent(self, frame_bytes: int) -> None:
-        """Add one sent frame."""
+        """Count the bytes of one sent frame."""
         with self._lock:
             self._bytes_sent += frame_bytes
 
     def as_metrics(self) -> dict[str, float]:
-        """Return the counts by their Prometheus names."""
+        """Return the counters by their Prometheus names."""
         with self._lock:
             value_by_name: dict[str, float] = {
                 f'baobabgap_messages_received_total{{kind="{kind}"}}': count
--- a/baobabgap/transport/tests/test_connection.py
+++ b/baobabgap/transport/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Links: opened, kept in order, and never blocking a sender."""
+"""Tests of links: opening, order of messages, non-blocking sends."""
 
 from concurrent.futures import ThreadPoolExecutor
 from queue import Queue
@@ -21,7 +21,7 @@
 
 
 class ClosedSocket:
-    """A socket whose peer has gone right after the handshake."""
+    """A WebSocket that the peer closed right after the handshake."""
 
     def __init__(self) -> None:
         self.socket = Socket()
@@ -37,13 +37,19 @@
 
 
 class OpenLinkTest(unittest.TestCase):
-    def test_peer_gone_before_hello_is_a_lost_connection(self) -> None:
-        closed = ClosedSocket()
-        self.addCleanup(closed.close)
+    """Opening a link reports each failure as an error of the package.
+
+    If the peer closes the WebSocket before `Hello`, the library raises
+    its own exception, which callers don't handle.
+    """
+
+    def test_peer_closing_before_hello_raises_connection_lost(self) -> None:
+        closed_socket = ClosedSocket()
+        self.addCleanup(closed_socket.close)
         with ThreadPoolExecutor() as pool:
             with self.assertRaises(ConnectionLost):
                 Connection.open_link(
-                    closed,
+                    closed_socket,
                     Hello(name='one', role='control', incarnation='1'),
                     LinkTiming(),
                     pool,
@@ -51,26 +57,35 @@
 
 
 class SendingTest(unittest.TestCase):
-    """What is sent arrives in order, and a deaf peer blocks nobody."""
+    """Messages arrive in order, and a peer that never reads blocks no sender.
+
+    Order could get lost where messages are batched into frames. A sender
+    would block when the socket's buffer is full.
+    """
 
     def setUp(self) -> None:
         self.pool = ThreadPoolExecutor(16)
         self.addCleanup(self.pool.shutdown)
         self.accepted: Queue[Connection] = Queue()
-        self.closing = threading.Event()
+        self.may_close = threading.Event()
         listener = Listener(
-            '127.0.0.1', 0, lambda: _hello('b'), _TIMING, self.pool, self._keep
+            '127.0.0.1',
+            0,
+            lambda: _hello('b'),
+            _TIMING,
+            self.pool,
+            self._hold_open,
         )
         listener.start()
         self.addCleanup(listener.stop)
         address = f'127.0.0.1:{listener.port}'
         self.link = dial(address, _hello('a'), _TIMING, self.pool)
         self.addCleanup(self.link.close)
-        self.addCleanup(self.closing.set)
+        self.addCleanup(self.may_close.set)
 
-    def _keep(self, connection: Connection) -> None:
+    def _hold_open(self, connection: Connection) -> None:
         self.accepted.put(connection)
-        self.closing.wait(_WAIT_S)
+        self.may_close.wait(_WAIT_S)
 
     def test_order_is_kept_between_small_and_large(self) -> None:
         sent = [
@@ -83,12 +98,12 @@
         for message in sent:
             self.assertEqual(message, next(received))
 
-    def test_peer_that_reads_nothing_blocks_no_sender(self) -> None:
-        def send_much() -> None:
+    def test_peer_that_never_reads_blocks_no_sender(self) -> None:
+        def send_many() -> None:
             for _ in range(10_000):
                 self.link.send(CancelJobs(('x' * 4_000,)))
 
-        done = self.pool.submit(send_much)
+        done = self.pool.submit(send_many)
         self.assertIsNone(done.result(timeout=_WAIT_S))
 
 
