--- a/baobabgap/jobs/__init__.py
+++ b/baobabgap/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""The job as its client sees it: identifier, submission and answer."""
+"""Jobs in the client API: identifier, submission and answer."""
 
 from baobabgap.jobs._answer import FailureCode
 from baobabgap.jobs._answer import JobAnswer
--- a/baobabgap/jobs/_answer.py
+++ b/baobabgap/jobs/_answer.py
@@ -1,4 +1,4 @@
-"""How a job ends: with every task's value, or with one clear failure."""
+"""The answer to a job: the values of all its tasks, or one failure."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -25,7 +25,7 @@
     TASK_LOST = 'task_lost'
     OWNER_LOST = 'owner_lost'
     WINDOW_PASSED = 'window_passed'
-    # A fault of the system itself, with a trace in the entry's log.
+    # An error in the system itself; the entry's log has the traceback.
     INTERNAL = 'internal'
 
 
@@ -39,19 +39,19 @@
 
 @dataclass(frozen=True, slots=True)
 class JobFailure:
-    """Why a job has no answer, and what its client may do about it."""
+    """Why a job failed, and what its client may do about it."""
 
-    # What went wrong.
+    # The cause of the failure.
     code: FailureCode
-    # A sentence for a person.
+    # Human-readable description.
     message: str
-    # The stage of the job at which it went wrong.
+    # The stage of the job that failed.
     step: str
-    # The process at the other end, or empty.
+    # The name of the peer process, or empty.
     peer: str
     # Whether any task of the job has started.
     ran: Ran
-    # Seconds after which a new attempt makes sense; 0 if it never does.
+    # Seconds after which a retry may succeed; 0 if it never will.
     retry_after_s: float = 0.0
 
 
@@ -67,13 +67,13 @@
 
 @dataclass(frozen=True, slots=True)
 class JobAnswer:
-    """The end of a job: all values in order of submission, or a failure."""
+    """The result of a job: all values in submission order, or a failure."""
 
     # The job's identifier.
     identifier: str
-    # One answer for each task, in the order submitted; empty if failed.
+    # One answer for each task, in submission order; empty if failed.
     results: tuple[TaskAnswer, ...] = ()
-    # Set if and only if the job has no whole answer.
+    # Set if and only if the job was refused or has failed.
     failure: JobFailure | None = None
 
     @classmethod
--- a/baobabgap/jobs/_identifier.py
+++ b/baobabgap/jobs/_identifier.py
@@ -1,8 +1,8 @@
 """The identifier of a job, chosen by its client.
 
-It carries the client's name and the time of issue on the client's own
-clock. Issue times are only ever compared with issue times of the same
-client, so that no two hosts' clocks need to agree.
+It contains the client's name and the time of issue on the client's own
+clock. An issue time is compared only with issue times of the same client,
+so that the clocks of hosts need not agree.
 """
 
 from dataclasses import dataclass
@@ -24,23 +24,23 @@
 
     # The client's name, as in its quota and in the logs.
     client: str
-    # Milliseconds on the client's own clock when it made the job.
+    # Milliseconds on the client's own clock when it issued the job.
     issued_ms: int
-    # Anything that tells jobs issued in the same millisecond apart.
+    # Distinguishes jobs that were issued in the same millisecond.
     nonce: str
 
     @classmethod
     def from_text(cls, text: str) -> 'JobIdentifier':
         """Parse `client.issued_ms.nonce`; raise `InvalidInput` if wrong."""
-        found = _PATTERN.fullmatch(text)
-        if found is None:
+        match = _PATTERN.fullmatch(text)
+        if match is None:
             raise InvalidInput(
                 f'job identifier {text[:120]!r} must read '
                 'client.issued_ms.nonce, for example '
                 'kurek.1764800000000.heat-4',
                 step='submit',
             )
-        return cls(found['client'], int(found['issued']), found['nonce'])
+        return cls(match['client'], int(match['issued']), match['nonce'])
 
     def __str__(self) -> str:
         return f'{self.client}.{self.issued_ms}.{self.nonce}'
--- a/baobabgap/jobs/_submission.py
+++ b/baobabgap/jobs/_submission.py
@@ -1,4 +1,4 @@
-"""What a client submits: a job of one to a thousand short tasks."""
+"""A client's submission: a job of 1 to 1000 short tasks."""
 
 from dataclasses import dataclass
 import hashlib
@@ -54,11 +54,11 @@
 
     # Unique within the job.
     identifier: Name
-    # What sort of work it is; run times are learned for each kind.
+    # The kind of work; run times are learned for each kind.
     kind: Name
-    # Handed to the upstream as it is: any JSON value.
+    # Passed to the upstream unchanged: any JSON value.
     payload: Any = None
-    # Declared run time in milliseconds; often far from the truth.
+    # Declared run time in milliseconds; often far from accurate.
     run_time_ms: Annotated[
         int, Field(gt=0, le=MAXIMUM_RUN_TIME_MS, strict=True)
     ] = 100
@@ -68,10 +68,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSubmission:
-    """A whole job, validated, as it came from a client.
+    """A validated job, as a client submitted it.
 
-    Build one from decoded JSON with `from_document`; it raises
-    `InvalidInput` that names each wrong field.
+    Create one from decoded JSON with `from_document`.
     """
 
     __pydantic_config__ = _STRICT
@@ -89,16 +88,21 @@
         tuple[TaskSubmission, ...],
         Field(min_length=1, max_length=MAXIMUM_TASKS),
     ]
-    # Whether the client says that running a task twice does no harm.
+    # Whether the client declares that a task may safely run twice.
     idempotent: Annotated[bool, Field(strict=True)] = False
 
     @classmethod
     def from_document(cls, document: object) -> 'JobSubmission':
-        """Validate a decoded JSON document into a submission."""
+        """Validate a decoded JSON document into a submission.
+
+        Raises `InvalidInput` that names the first few invalid fields.
+        """
         try:
-            submission = _SUBMISSION.validate_python(document)
+            submission = _SUBMISSION_ADAPTER.validate_python(document)
         except ValidationError as error:
-            raise InvalidInput(_explain(error), step='submit') from error
+            raise InvalidInput(
+                _describe_errors(error), step='submit'
+            ) from error
         JobIdentifier.from_text(submission.identifier)
         _require_unique_tasks(submission.tasks)
         return submission
@@ -109,12 +113,14 @@
         return JobIdentifier.from_text(self.identifier).client
 
     def digest(self) -> bytes:
-        """Return 16 bytes that tell this content from any other.
+        """Return a 16-byte digest of the content, without the deadline.
 
-        The deadline is left out: a client that resubmits a job has less
-        time left, and still means the same job.
+        A client that resubmits a job has less time left, but it is still
+        the same job.
         """
-        content = _SUBMISSION.dump_python(self, exclude={'deadline_ms'})
+        content = _SUBMISSION_ADAPTER.dump_python(
+            self, exclude={'deadline_ms'}
+        )
         packed = cbor2.dumps(content, canonical=True)
         return hashlib.blake2b(packed, digest_size=16).digest()
 
@@ -131,13 +137,13 @@
         seen.add(task.identifier)
 
 
-def _explain(error: ValidationError) -> str:
-    """Name the first few wrong fields and what is wrong with each."""
+def _describe_errors(error: ValidationError) -> str:
+    """Describe the errors of the first few invalid fields."""
     reasons = []
     for detail in error.errors(include_url=False, include_input=False)[:5]:
-        place = '.'.join(str(part) for part in detail['loc']) or 'job'
-        reasons.append(f'{place}: {detail["msg"]}')
+        location = '.'.join(str(part) for part in detail['loc']) or 'job'
+        reasons.append(f'{location}: {detail["msg"]}')
     return '; '.join(reasons)
 
 
-_SUBMISSION: Final = TypeAdapter(JobSubmission)
+_SUBMISSION_ADAPTER: Final = TypeAdapter(JobSubmission)
--- a/baobabgap/jobs/tests/test_submission.py
+++ b/baobabgap/jobs/tests/test_submission.py
@@ -1,4 +1,4 @@
-"""Tests of submissions: what is taken, and what is refused with why."""
+"""Tests of job submissions and identifiers."""
 
 from typing import Any
 import unittest
@@ -21,23 +21,28 @@
 
 
 class TestJobSubmission(unittest.TestCase):
-    """A submission is whole and right, or refused with the field named."""
+    """A valid submission is accepted; an invalid one names the field.
 
-    def test_accepts(self) -> None:
+    Without the field in the error, a client can't find what to correct.
+    The digest must ignore the deadline: otherwise a resubmission with less
+    time left conflicts with the claim of its own job.
+    """
+
+    def test_accepts_valid_document(self) -> None:
         submission = JobSubmission.from_document(_document())
         self.assertEqual('kurek', submission.client)
         self.assertFalse(submission.idempotent)
 
-    def test_refuses(self) -> None:
+    def test_refuses_invalid_documents(self) -> None:
         task = {'identifier': 't', 'kind': 'seat'}
-        many = [
+        too_many_tasks = [
             {'identifier': f't{i}', 'kind': 'k'}
             for i in range(MAXIMUM_TASKS + 1)
         ]
         cases: dict[str, tuple[object, str]] = {
             'no map': ([], 'job'),
             'no tasks': (_document(tasks=[]), 'tasks'),
-            '1001 tasks': (_document(tasks=many), 'tasks'),
+            '1001 tasks': (_document(tasks=too_many_tasks), 'tasks'),
             'text deadline': (_document(deadline_ms='5'), 'deadline_ms'),
             'past deadline': (_document(deadline_ms=0), 'deadline_ms'),
             'unknown key': (_document(colour='red'), 'colour'),
@@ -54,7 +59,7 @@
                     JobSubmission.from_document(document)
                 self.assertIn(expected, str(caught.exception))
 
-    def test_digest_ignores_deadline_alone(self) -> None:
+    def test_digest_ignores_only_the_deadline(self) -> None:
         first = JobSubmission.from_document(_document())
         later = JobSubmission.from_document(_document(deadline_ms=7))
         other = JobSubmission.from_document(_document(team='coxswains'))
@@ -63,7 +68,10 @@
 
 
 class TestJobIdentifier(unittest.TestCase):
-    """Identifiers read back as written."""
+    """Parsing and formatting an identifier are inverse to each other.
+
+    Otherwise logs and answers would name another job.
+    """
 
     def test_round_trip(self) -> None:
         text = 'etnavapore.1764800000000.well-7_b'
