--- a/baobabgap/configuration/__init__.py
+++ b/baobabgap/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration that change tickets set."""
+"""The configuration of the deployment, set by change tickets."""
 
 from baobabgap.configuration._model import Configuration
 from baobabgap.configuration._model import OrderPolicy
