--- a/baobabgap/settings/__init__.py
+++ b/baobabgap/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a process, read from YAML into frozen data classes."""
+"""Settings of a process, loaded from YAML into frozen data classes."""
 
 from baobabgap.settings._agent import AgentSettings
 from baobabgap.settings._control import ControlSettings
--- a/baobabgap/settings/_agent.py
+++ b/baobabgap/settings/_agent.py
@@ -9,16 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
-    """How an agent looks after its upstream."""
+    """How an agent monitors its upstream."""
 
     __pydantic_config__ = ConfigDict(extra='forbid')
 
     # Seconds between checks that the upstream's application is alive.
     upstream_check_s: Annotated[float, Field(gt=0, le=10)] = 0.5
-    # Seconds without a good check after which the upstream is silent.
+    # Seconds without a successful check after which the upstream is
+    # considered silent.
     upstream_silence_s: Annotated[float, Field(gt=0, le=60)] = 2.0
     # Seconds without renewal after which the upstream stops a task; an
-    # agent that restarts within them loses no running task.
+    # agent that restarts within this time loses no running task.
     lease_s: Annotated[float, Field(gt=0, le=60)] = 5.0
-    # Failures in a row after which the upstream gets no new tasks.
+    # Consecutive failures after which the upstream gets no new tasks.
     failures_before_ejection: Annotated[int, Field(ge=1)] = 5
--- a/baobabgap/settings/_load.py
+++ b/baobabgap/settings/_load.py
@@ -1,4 +1,4 @@
-"""Reading settings files."""
+"""Loads and validates settings files."""
 
 from pathlib import Path
 from typing import Any
@@ -13,15 +13,15 @@
 from baobabgap.settings._model import Settings
 from baobabgap.settings._yaml import read_yaml
 
-_MOST_CONTROL_HOSTS: Final = 7
+_MAX_CONTROL_HOSTS: Final = 7
 
-_SETTINGS: Final = TypeAdapter(Settings)
+_SETTINGS_ADAPTER: Final = TypeAdapter(Settings)
 
 
 def load_settings(path: str | Path) -> Settings:
     """Read and validate a YAML file.
 
-    Raises `SettingsError` that names the file, each wrong key and what
+    Raises `SettingsError` that names the file, each invalid key and what
     is allowed there.
     """
     try:
@@ -33,9 +33,12 @@
 
 
 def settings_from_document(document: Any, *, source: str) -> Settings:
-    """Validate settings that were read from `source`."""
+    """Validate settings that were read from `source`.
+
+    Raises `SettingsError` that names `source` and each invalid key.
+    """
     try:
-        settings = _SETTINGS.validate_python(document)
+        settings = _SETTINGS_ADAPTER.validate_python(document)
     except ValidationError as error:
         raise SettingsError(
             f'{source}: {explain(error, Settings)}', step='settings'
@@ -47,7 +50,7 @@
 
 
 def _find_contradiction(settings: Settings) -> str:
-    """Return what can't hold together, or an empty text."""
+    """Describe the first inconsistency; return an empty text if none."""
     checks = (_check_timing, _check_ports, _check_control_hosts)
     for check in checks:
         problem = check(settings)
@@ -57,7 +60,10 @@
 
 
 def _check_timing(settings: Settings) -> str:
-    """A silence must span two signs of life, or one late one ends it."""
+    """Check that a silence limit spans at least two intervals.
+
+    Otherwise one late heartbeat or check exceeds the limit.
+    """
     links, agent, control = settings.links, settings.agent, settings.control
     pairs = (
         ('links.silence_s', links.silence_s, links.heartbeat_s),
@@ -72,11 +78,11 @@
             control.member_heartbeat_s,
         ),
     )
-    for key, silence_s, sign_s in pairs:
-        if silence_s < 2 * sign_s:
+    for key, silence_s, interval_s in pairs:
+        if silence_s < 2 * interval_s:
             return (
-                f'{key}: must be at least twice the time between signs of '
-                f'life, so {2 * sign_s} or more (got {silence_s})'
+                f'{key}: must be at least twice the interval of heartbeats '
+                f'or checks, so {2 * interval_s} or more (got {silence_s})'
             )
     if agent.lease_s <= agent.upstream_silence_s:
         return (
@@ -104,8 +110,8 @@
         return 'control_hosts: each host needs a name of its own'
     if len(set(addresses)) != len(addresses):
         return 'control_hosts: each host needs an address of its own'
-    if len(names) > _MOST_CONTROL_HOSTS:
-        return f'control_hosts: at most {_MOST_CONTROL_HOSTS}'
+    if len(names) > _MAX_CONTROL_HOSTS:
+        return f'control_hosts: at most {_MAX_CONTROL_HOSTS}'
     needs_control = settings.role in (Role.ENTRY, Role.AGENT, Role.CONTROL)
     if needs_control and not names:
         return f'control_hosts: the role {settings.role} needs at least one'
@@ -115,19 +121,19 @@
 
 
 def _check_own_control_host(settings: Settings) -> str:
-    """A control host must listen where the others look for it."""
+    """Check that a control host is listed and uses the listed port."""
     names = [host.name for host in settings.control_hosts]
     if settings.name not in names:
         return (
             f'control_hosts: must list this host, {settings.name!r} '
             f'(got {", ".join(names)})'
         )
-    listed = settings.control_hosts[names.index(settings.name)].port
-    listened = settings.listen.internal_port
-    # Either may be 0: the other one then decides.
-    if listed and listened and listed != listened:
+    listed_port = settings.control_hosts[names.index(settings.name)].port
+    listen_port = settings.listen.internal_port
+    # If one of them is 0, the other one applies.
+    if listed_port and listen_port and listed_port != listen_port:
         return (
-            f'listen.internal_port: must be {listed} as in control_hosts '
-            f'(got {listened})'
+            f'listen.internal_port: must be {listed_port} as in control_hosts '
+            f'(got {listen_port})'
         )
     return ''
--- a/baobabgap/settings/_model.py
+++ b/baobabgap/settings/_model.py
@@ -1,4 +1,4 @@
-"""The settings of a process: what the YAML file may say."""
+"""Data model of the settings file of a process."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -21,7 +21,7 @@
 
 
 def _require_ip_number(text: str) -> str:
-    """Refuse names: processes find each other without a name service."""
+    """Refuse host names, since processes don't depend on DNS."""
     try:
         IPv4Address(text)
     except ValueError as error:
@@ -34,20 +34,20 @@
 
 
 class Role(StrEnum):
-    """What a process does."""
+    """The role of a process."""
 
     ENTRY = 'entry'
     AGENT = 'agent'
     CONTROL = 'control'
-    # All three and a stand-in upstream, for a first look.
+    # All three roles and a stand-in upstream, for evaluation.
     STANDALONE = 'standalone'
-    # A pretend upstream for demonstrations and tests.
+    # A simulated upstream for demonstrations and tests.
     STAND_IN = 'stand-in'
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where the process stands."""
+    """The location of the process."""
 
     __pydantic_config__ = STRICT
 
@@ -65,13 +65,13 @@
     host: IpNumber = '127.0.0.1'
     # For links between the system's processes.
     internal_port: Port = 0
-    # For callers, upstreams, the balancer and operators.
+    # For clients, upstreams, the load balancer and operators.
     http_port: Port = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ControlHost:
-    """One member of the control group as it is first started."""
+    """One initial member of the control group."""
 
     __pydantic_config__ = STRICT
 
@@ -81,7 +81,7 @@
 
     @property
     def address(self) -> str:
-        """The host and port for internal links."""
+        """The address for internal links, as host:port."""
         return f'{self.host}:{self.port}'
 
 
@@ -93,13 +93,13 @@
 
     # Seconds between heartbeats on an idle link.
     heartbeat_s: Annotated[float, Field(gt=0, le=10)] = 1.0
-    # Seconds of silence after which a link is given up.
+    # Seconds of silence after which a link is closed.
     silence_s: Annotated[float, Field(gt=0, le=60)] = 2.5
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of one process; read them with `load_settings`."""
+    """All settings of a process; read them with `load_settings`."""
 
     __pydantic_config__ = STRICT
 
@@ -109,7 +109,7 @@
     listen: Listen = Listen()
     control_hosts: tuple[ControlHost, ...] = ()
     links: Links = Links()
-    # JSON lines are appended here; standard error if empty.
+    # The file to which JSON lines are appended; standard error if empty.
     log_file: str = ''
     entry: EntrySettings = EntrySettings()
     agent: AgentSettings = AgentSettings()
--- a/baobabgap/settings/_standin.py
+++ b/baobabgap/settings/_standin.py
@@ -15,10 +15,10 @@
 
     # The HTTP address of the agent to announce to, as host:port.
     agent_address: str = ''
-    # Tasks that it runs at once.
+    # Maximum number of concurrent tasks.
     slots: Annotated[int, Field(ge=1, le=1024)] = 8
     processors: Annotated[float, Field(gt=0)] = 32.0
     memory_mb: Annotated[int, Field(gt=0)] = 65536
     accelerators: Annotated[int, Field(ge=0)] = 0
-    # Seeds the run times and faults.
+    # Seed of the random run times and faults.
     seed: int = 1
--- a/baobabgap/settings/_yaml.py
+++ b/baobabgap/settings/_yaml.py
@@ -1,4 +1,4 @@
-"""Reading YAML, more strictly than the library does."""
+"""Strict YAML parsing: duplicate keys are errors."""
 
 from collections.abc import Hashable
 from typing import Any
@@ -7,10 +7,10 @@
 
 
 class _StrictLoader(yaml.SafeLoader):
-    """Refuses a map in which a key stands twice.
+    """Refuses maps with duplicate keys.
 
-    The library keeps the last value without a word, so that a setting or
-    a part of a ticket would silently be lost.
+    PyYAML keeps the last value without an error, so that a setting or a
+    part of a ticket would silently be lost.
     """
 
     def construct_mapping(
@@ -21,7 +21,7 @@
             key = self.construct_object(key_node, deep=True)
             if isinstance(key, Hashable) and key in seen:
                 raise yaml.constructor.ConstructorError(
-                    None, None, f'{key!r} stands twice', key_node.start_mark
+                    None, None, f'duplicate key {key!r}', key_node.start_mark
                 )
             if isinstance(key, Hashable):
                 seen.add(key)
@@ -29,7 +29,10 @@
 
 
 def read_yaml(text: str) -> Any:
-    """Decode one YAML document; raise `ValueError` that says where."""
+    """Decode one YAML document.
+
+    Raises `ValueError` with the position of a syntax error.
+    """
     try:
         return yaml.load(text, Loader=_StrictLoader)
     except (yaml.YAMLError, RecursionError) as error:
--- a/baobabgap/settings/tests/test_load.py
+++ b/baobabgap/settings/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of settings files: what stops a start, and what is said then."""
+"""Tests of settings files: which are refused, and with which error."""
 
 from pathlib import Path
 import tempfile
@@ -19,14 +19,19 @@
 
 
 class TestLoadSettings(unittest.TestCase):
-    """A wrong file is refused with the file, the key and what is allowed."""
+    """An invalid file is refused; the error names the file and the key.
+
+    A process that started with a mistyped key would run on a default, and
+    an error without the key and the allowed values gives an operator
+    nothing to correct.
+    """
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / 'process.yaml'
 
-    def test_examples_are_good(self) -> None:
+    def test_examples_are_valid(self) -> None:
         roles = [load_settings(path).role for path in _EXAMPLES.iterdir()]
         self.assertEqual(13, len(roles))
         self.assertEqual(3, roles.count(Role.CONTROL))
@@ -37,12 +42,12 @@
         self.assertEqual('127.0.0.1:17011', settings.control_hosts[0].address)
         self.assertEqual(Links(), settings.links)
 
-    def test_refuses(self) -> None:
+    def test_refuses_invalid_values(self) -> None:
         cases: dict[str, tuple[str, list[str]]] = {
             'not YAML': ('role: [', ['line 1']),
             'empty file': ('', ['file', 'must be a map of role, name']),
             'a list': ('[]', ['file', 'must be a map of role, name']),
-            'key twice': (_ENTRY + 'name: b', ["'name' stands twice"]),
+            'key twice': (_ENTRY + 'name: b', ["duplicate key 'name'"]),
             'no name': ('role: entry', ['name: is missing']),
             'unknown role': (
                 'role: queen\nname: a',
@@ -87,7 +92,7 @@
         }
         self._assert_each_is_refused(cases)
 
-    def test_refuses_impossible_combinations(self) -> None:
+    def test_refuses_inconsistent_values(self) -> None:
         cases: dict[str, tuple[str, list[str]]] = {
             'short silence': (
                 _ENTRY + 'links: {heartbeat_s: 1, silence_s: 1.5}',
@@ -148,6 +153,6 @@
                 self.path.write_text(text)
                 with self.assertRaises(SettingsError) as caught:
                     load_settings(self.path)
-                said = str(caught.exception)
+                message = str(caught.exception)
                 for part in [str(self.path), *expected]:
-                    self.assertIn(part, said)
+                    self.assertIn(part, message)
