--- a/baobabgap/web/__init__.py
+++ b/baobabgap/web/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP plumbing: a server for WSGI applications and a small client."""
+"""HTTP: a server for WSGI applications and a client for JSON requests."""
 
 from baobabgap.web._client import RequestNeverSent
 from baobabgap.web._client import WebClient
--- a/baobabgap/web/_client.py
+++ b/baobabgap/web/_client.py
@@ -1,4 +1,4 @@
-"""Small HTTP requests with JSON documents, by pycurl."""
+"""HTTP client for JSON documents, based on pycurl."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -13,38 +13,40 @@
 
 from baobabgap._exceptions import ConnectionLost
 
-# Headers that libcurl would add; each costs the server time to read.
-_LEFT_OUT_HEADERS: Final = ('Expect:', 'Accept:', 'User-Agent:')
+# Headers that libcurl adds by default; each costs the server parsing time.
+_SUPPRESSED_HEADERS: Final = ('Expect:', 'Accept:', 'User-Agent:')
 _METHODS_WITH_BODY: Final = ('POST', 'PUT', 'PATCH')
 
 
 @dataclass(frozen=True, slots=True)
 class WebResponse:
-    """What a server answered."""
+    """The response of a server."""
 
     # The HTTP status.
     status: int
     # Header values by lower-case name.
     header_by_name: dict[str, str]
-    # The body as it came.
+    # The undecoded body.
     body: bytes
 
     def document(self) -> Any:
-        """Decode the body as JSON."""
+        """Decode the body as JSON; None if the body is empty."""
         return json.loads(self.body) if self.body else None
 
 
 class RequestNeverSent(ConnectionLost):
-    """Not a byte of the request has left, so the server knows nothing."""
+    """No byte of the request was sent, so the server can't have acted."""
 
 
 class WebClient:
-    """One kept-alive HTTP client; use it from one thread at a time.
+    """HTTP client with one persistent connection.
 
-    The timeout of a request is in seconds. A request that got no whole
-    response raises `ConnectionLost`: the server may have acted on it. The
-    library sends a request twice if a kept-alive connection ends under
-    it, so only `RequestNeverSent` proves that the server has not.
+    Use it from one thread at a time.
+
+    A request without a complete response raises `ConnectionLost`: the
+    server may have acted on it. libcurl resends a request if a persistent
+    connection ends while it is in use, so only `RequestNeverSent` proves
+    that the server has not acted.
     """
 
     def __init__(self, address: str) -> None:
@@ -76,11 +78,11 @@
     ) -> WebResponse:
         """Send one request and wait for its response.
 
-        `is_given_up` is asked about once a second; when it says so, the
-        request ends with `ConnectionLost`.
+        `is_given_up` is called about once per second; once it returns
+        true, the request fails with `ConnectionLost`.
         """
         body = BytesIO()
-        head: list[bytes] = []
+        header_lines: list[bytes] = []
         curl = self._curl
         curl.reset()
         curl.setopt(pycurl.URL, f'http://{self._address}{path}')
@@ -90,8 +92,8 @@
         curl.setopt(pycurl.TIMEOUT_MS, max(1, int(timeout_s * 1000)))
         curl.setopt(pycurl.TCP_NODELAY, 1)
         curl.setopt(pycurl.WRITEDATA, body)
-        curl.setopt(pycurl.HEADERFUNCTION, head.append)
-        headers = list(_LEFT_OUT_HEADERS)
+        curl.setopt(pycurl.HEADERFUNCTION, header_lines.append)
+        headers = list(_SUPPRESSED_HEADERS)
         for name, value in (header_by_name or {}).items():
             headers.append(f'{name}: {value}')
         if document is not None or method in _METHODS_WITH_BODY:
@@ -112,10 +114,12 @@
                 str(error.args[-1]), step='request', peer=self._address
             ) from error
         status = int(curl.getinfo(pycurl.RESPONSE_CODE))
-        return WebResponse(status, _parse_head(head), body.getvalue())
+        return WebResponse(
+            status, _parse_headers(header_lines), body.getvalue()
+        )
 
 
-def _parse_head(lines: list[bytes]) -> dict[str, str]:
+def _parse_headers(lines: list[bytes]) -> dict[str, str]:
     header_by_name: dict[str, str] = {}
     for line in lines:
         name, separator, value = line.decode('latin-1').partition(':')
--- a/baobabgap/web/_errors.py
+++ b/baobabgap/web/_errors.py
@@ -1,7 +1,7 @@
-"""Errors that the HTTP server itself answers, as JSON documents.
+"""Errors that the HTTP server itself returns, as JSON documents.
 
-A request that is too broken to reach the application, such as one with a
-malformed header, gets a document of the same shape as a refused job.
+A request that can't be passed to the application, such as one with a
+malformed header, gets a document of the same schema as a refused job.
 """
 
 from http import HTTPStatus
@@ -12,14 +12,14 @@
 
 
 class JsonErrorRequest(HTTPRequest):
-    """A request whose early errors are JSON.
+    """A request for which the server returns its own errors as JSON.
 
-    It closes the connection after a body that it can't find the end of,
-    so that no leftover is read as a request of its own.
+    It closes the connection after a body whose end it can't determine, so
+    that the rest of the body is not parsed as another request.
     """
 
     def respond(self) -> None:
-        """Run the application unless the length makes no sense."""
+        """Run the application unless Content-Length is malformed."""
         length = self.inheaders.get(b'Content-Length', b'0')
         if not length.isdigit():
             self.simple_response('400 Bad Request', 'Malformed Content-Length')
@@ -29,9 +29,9 @@
             self.close_connection = True
 
     def send_headers(self) -> None:
-        """Close the connection too if the application says so.
+        """Also close it if the application sends `Connection: close`.
 
-        The unread rest of a body is then not waited for.
+        The server then doesn't wait for the unread rest of the body.
         """
         for name, value in self.outheaders:
             if (name.lower(), value.lower()) == (b'connection', b'close'):
@@ -39,44 +39,44 @@
         super().send_headers()
 
     def simple_response(self, status: object, msg: str = '') -> None:
-        """Write one error and close the connection after it."""
-        number = int(str(status)[:3])
-        if number < HTTPStatus.BAD_REQUEST:
+        """Send an error response and close the connection."""
+        status_code = int(str(status)[:3])
+        if status_code < HTTPStatus.BAD_REQUEST:
             super().simple_response(status, msg)
             return
         self.close_connection = True
-        body = _error_document(number, msg or str(status)[4:])
-        head = (
+        body = _error_document(status_code, msg or str(status)[4:])
+        header = (
             f'{self.server.protocol} {status}\r\n'
             f'Content-Length: {len(body)}\r\n'
             'Content-Type: application/json\r\n'
             'Connection: close\r\n\r\n'
         )
         try:
-            self.conn.wfile.write(head.encode('latin-1') + body)
+            self.conn.wfile.write(header.encode('latin-1') + body)
         except OSError:
-            # The client is gone, and with it whoever would read this.
+            # The client has disconnected, so nobody reads the response.
             return
 
 
 class JsonErrorConnection(HTTPConnection):
-    """A connection whose early errors are JSON."""
+    """A connection on which the server's own errors are JSON."""
 
     RequestHandlerClass = JsonErrorRequest
 
 
 def _error_document(status: int, message: str) -> bytes:
-    is_own_fault = status >= HTTPStatus.INTERNAL_SERVER_ERROR
+    is_server_error = status >= HTTPStatus.INTERNAL_SERVER_ERROR
     is_too_large = status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE
     code = 'too_large' if is_too_large else 'invalid'
     document = {
         'identifier': '',
-        'state': 'failed' if is_own_fault else 'refused',
+        'state': 'failed' if is_server_error else 'refused',
         'error': {
-            'code': 'internal' if is_own_fault else code,
+            'code': 'internal' if is_server_error else code,
             'step': 'request',
             'peer': '',
-            'ran': 'unknown' if is_own_fault else 'no',
+            'ran': 'unknown' if is_server_error else 'no',
             'message': message,
             'retry_after_s': 0.0,
         },
--- a/baobabgap/web/_server.py
+++ b/baobabgap/web/_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server for a WSGI application, in this process."""
+"""HTTP server that runs a WSGI application in this process."""
 
 from collections.abc import Callable
 from concurrent.futures import Executor
@@ -12,27 +12,28 @@
 
 from baobabgap.web._errors import JsonErrorConnection
 
-# Seconds without a byte after which an idle or stuck connection is closed.
+# Seconds without received data after which an idle or stalled connection is
+# closed.
 _READ_TIMEOUT_S: Final = 30
 
 
-# The key in a request's environment of a function that tells whether the
-# client has closed its connection.
+# The key in the WSGI environment of a function that tells whether the client
+# has closed its connection.
 CLIENT_HAS_LEFT: Final = 'baobabgap.client_has_left'
 
 
 class _Gateway(Gateway_10):
-    """Lets the application ask whether its client still waits."""
+    """Lets the application check whether its client is still connected."""
 
     def get_environ(self) -> Any:
-        """Return the environment of one request."""
+        """Return the WSGI environment of one request."""
         environ = super().get_environ()  # type: ignore[no-untyped-call]
-        environ[CLIENT_HAS_LEFT] = _closed_check(self.req.conn.socket)
+        environ[CLIENT_HAS_LEFT] = _make_disconnect_check(self.req.conn.socket)
         return environ
 
 
-def _closed_check(connection: socket.socket) -> Callable[[], bool]:
-    def has_closed() -> bool:
+def _make_disconnect_check(connection: socket.socket) -> Callable[[], bool]:
+    def is_disconnected() -> bool:
         try:
             poller = select.poll()
             poller.register(connection, select.POLLIN)
@@ -40,17 +41,17 @@
                 return False
             return connection.recv(1, socket.MSG_PEEK) == b''
         except (OSError, ValueError):
-            # The descriptor is gone, or the connection was reset.
+            # The descriptor is closed, or the connection was reset.
             return True
 
-    return has_closed
+    return is_disconnected
 
 
 class WebServer:
     """Serves a WSGI application on one port with a fixed pool of threads.
 
-    Idle kept-alive connections hold no thread; one that stops in the
-    middle of a request holds a thread for `read_timeout_s` seconds.
+    Idle persistent connections occupy no thread; a connection that stalls
+    in the middle of a request occupies one for `read_timeout_s` seconds.
     Requests that never reach the application get JSON errors too.
     """
 
@@ -78,13 +79,13 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on, also if 0 was asked for."""
+        """The port in use, also if port 0 was requested."""
         return int(self._server.bind_addr[1])
 
     def start(self, pool: Executor) -> None:
-        """Begin serving in a task of the pool."""
+        """Start serving in a task of the pool."""
         pool.submit(self._server.serve)
 
     def stop(self) -> None:
-        """Stop listening after the requests in progress are answered."""
+        """Stop the server after the requests in progress are answered."""
         self._server.stop()
--- a/baobabgap/web/tests/test_client.py
+++ b/baobabgap/web/tests/test_client.py
@@ -1,4 +1,4 @@
-"""What the HTTP client can prove about a request without an answer."""
+"""Tests of the HTTP client: was an unanswered request sent or not."""
 
 from concurrent.futures import ThreadPoolExecutor
 import socket
@@ -12,6 +12,12 @@
 
 
 class WebClientTest(unittest.TestCase):
+    """The client reports `RequestNeverSent` only if no byte was sent.
+
+    The error allows the caller to send the request elsewhere. If the
+    server had read the request, a task could run twice.
+    """
+
     def setUp(self) -> None:
         self.listener = socket.create_server(('127.0.0.1', 0))
         self.addCleanup(self.listener.close)
@@ -21,16 +27,16 @@
         self.pool = ThreadPoolExecutor(1)
         self.addCleanup(self.pool.shutdown)
 
-    def serve(self, answers: int, reads_on: bool = True) -> None:
-        """Answer some requests, perhaps read one more, and be gone."""
-        link, _ = self.listener.accept()
+    def serve(self, answers: int, reads_unanswered: bool = True) -> None:
+        """Answer some requests, maybe read one more, then close."""
+        connection, _ = self.listener.accept()
         for _ in range(answers):
-            link.recv(65536)
-            link.sendall(_OK)
-        if reads_on:
-            link.recv(65536)
+            connection.recv(65536)
+            connection.sendall(_OK)
+        if reads_unanswered:
+            connection.recv(65536)
         self.listener.close()
-        link.close()
+        connection.close()
 
     def post(self) -> None:
         self.client.request('POST', '/', {}, timeout_s=10)
@@ -40,8 +46,8 @@
         with self.assertRaises(RequestNeverSent):
             self.post()
 
-    def test_a_request_that_was_read_is_never_called_unsent(self) -> None:
-        """Also where the library has tried again and was refused."""
+    def test_a_request_that_was_read_is_never_reported_as_unsent(self) -> None:
+        """Also if libcurl resends it and the new connection is refused."""
         for answers in (0, 1):
             with self.subTest(answers=answers):
                 self.setUp()
@@ -53,7 +59,7 @@
                 self.assertNotIsInstance(caught.exception, RequestNeverSent)
                 served.result(10)
 
-    def test_a_closed_idle_connection_is_noticed(self) -> None:
+    def test_a_closed_idle_connection_is_detected(self) -> None:
         served = self.pool.submit(self.serve, 1, False)
         self.post()
         served.result(10)
