--- a/baobabgap/messages/_codec.py
+++ b/baobabgap/messages/_codec.py
@@ -91,8 +91,10 @@
     try:
         return _adapter(_class_by_name[name]).validate_python(fields)
     except ValidationError as error:
-        errors = error.errors(include_url=False, include_input=False)
-        location = '.'.join(str(part) for part in errors[0]['loc'])
+        error_details = error.errors(include_url=False, include_input=False)
+        location = '.'.join(str(part) for part in error_details[0]['loc'])
         raise ProtocolMismatch(
-            f'{name}.{location}: {errors[0]["msg"]}', step='decode', peer=peer
+            f'{name}.{location}: {error_details[0]["msg"]}',
+            step='decode',
+            peer=peer,
         ) from error
