--- a/baobabgap/agent/_upstream.py
+++ b/baobabgap/agent/_upstream.py
@@ -128,7 +128,7 @@
     ) -> WebResponse:
         try:
             client = self._idle_clients.pop()
-            if client.has_hung_up():
+            if client.is_closed_by_server():
                 client.close()
                 client = WebClient(self.address)
         except IndexError:
--- a/baobabgap/web/_client.py
+++ b/baobabgap/web/_client.py
@@ -57,7 +57,7 @@
         """Close the connection."""
         self._curl.close()
 
-    def has_hung_up(self) -> bool:
+    def is_closed_by_server(self) -> bool:
         """Tell whether the server has closed the idle connection."""
         socket = self._curl.getinfo(pycurl.ACTIVESOCKET)
         if socket < 0:
--- a/baobabgap/web/tests/test_client.py
+++ b/baobabgap/web/tests/test_client.py
@@ -63,4 +63,4 @@
         served = self.pool.submit(self.serve, 1, False)
         self.post()
         served.result(10)
-        self.assertTrue(self.client.has_hung_up())
+        self.assertTrue(self.client.is_closed_by_server())
