--- a/baobabgap/entry/_entry.py
+++ b/baobabgap/entry/_entry.py
@@ -112,7 +112,7 @@
             create_application(
                 self,
                 entry_settings.largest_body_bytes,
-                entry_settings.waiting_requests,
+                entry_settings.max_waiting_requests,
             ),
             entry_settings.http_threads,
             entry_settings.largest_body_bytes,
--- a/baobabgap/settings/_entry.py
+++ b/baobabgap/settings/_entry.py
@@ -40,6 +40,6 @@
     suspension_s: Annotated[float, Field(gt=0, le=600)] = 5.0
 
     @property
-    def waiting_requests(self) -> int:
+    def max_waiting_requests(self) -> int:
         """How many requests may wait for answers of jobs at the same time."""
         return self.http_threads - max(1, self.http_threads // 8)
