--- a/baobabgap/entry/tests/test_dispatcher.py
+++ b/baobabgap/entry/tests/test_dispatcher.py
@@ -29,7 +29,7 @@
             for placed in agent.take(PlaceTasks):
                 entry.finish(agent, placed)
         answer = future.result(1)
-        self.assertTrue(answer.is_whole)
+        self.assertTrue(answer.has_all_values)
         self.assertEqual(
             [('t0', 0), ('t1', 1), ('t2', 2), ('t3', 3)],
             [(item.task, item.value) for item in answer.results],
@@ -98,7 +98,7 @@
         self.assertEqual([AcknowledgeResults, PlaceTasks], kinds)
         repeated = agent.take(PlaceTasks)[0]
         entry.finish(agent, repeated)
-        self.assertTrue(future.result(1).is_whole)
+        self.assertTrue(future.result(1).has_all_values)
 
     def test_started_tasks_are_never_requeued(self) -> None:
         cases = {
@@ -124,7 +124,7 @@
         placed = one.take(PlaceTasks)[0]
         two.take(PlaceTasks)
         entry.finish(one, placed, TaskOutcome.FAILED)
-        self.assertFalse(future.result(1).is_whole)
+        self.assertFalse(future.result(1).has_all_values)
         self.assertEqual([('kurek.1.a',)], _cancelled(two))
         self.assertEqual([], one.take(PlaceTasks))
 
@@ -283,7 +283,7 @@
         self.assertFalse(future.done())
         entry.dispatcher.check_upstreams(now + 7.0)
         entry.finish(slow, slow.take(PlaceTasks)[0])
-        self.assertTrue(future.result(1).is_whole)
+        self.assertTrue(future.result(1).has_all_values)
 
     def test_at_most_a_third_of_the_upstreams_is_suspended(self) -> None:
         entry = FakeEntry()
--- a/baobabgap/entry/tests/test_submissions.py
+++ b/baobabgap/entry/tests/test_submissions.py
@@ -276,7 +276,7 @@
         assert failure is not None
         self.assertEqual(FailureCode.DRAINING, failure.code)
         entry.finish(agent, agent.take(PlaceTasks)[0])
-        self.assertTrue(running.result(1).is_whole)
+        self.assertTrue(running.result(1).has_all_values)
 
 
 class TestCancel(unittest.TestCase):
--- a/baobabgap/jobs/_answer.py
+++ b/baobabgap/jobs/_answer.py
@@ -82,6 +82,6 @@
         return cls(identifier, (), failure)
 
     @property
-    def is_whole(self) -> bool:
+    def has_all_values(self) -> bool:
         """Tell whether the answer has every task's value."""
         return self.failure is None
