--- a/baobabgap/messages/tests/test_codec.py
+++ b/baobabgap/messages/tests/test_codec.py
@@ -17,7 +17,7 @@
 class TestCodec(unittest.TestCase):
     """A received frame decodes to typed messages or raises an error.
 
-    Callers handle only `ProtocolMismatch`; any other exception from a
+    Sessions handle only errors of the package; any other exception from a
     malformed frame would end the receiving task.
     """
 
