--- a/baobabgap/api/__init__.py
+++ b/baobabgap/api/__init__.py
@@ -1,6 +1,6 @@
-"""The HTTP face of an entry: callers, the balancer and operators.
+"""The HTTP interface of an entry for clients, load balancers, operators.
 
-docs/PROTOCOL-HTTP.md has the routes, documents and statuses.
+docs/PROTOCOL-HTTP.md describes the routes, documents and statuses.
 """
 
 from baobabgap.api._application import create_application
--- a/baobabgap/api/_application.py
+++ b/baobabgap/api/_application.py
@@ -1,4 +1,4 @@
-"""The WSGI application: routes, and the answers to broken requests."""
+"""The WSGI application: routing and error responses."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -43,28 +43,31 @@
 def create_application(
     service: EntryService,
     largest_body_bytes: int,
-    most_waiting: int = 0,
+    max_waiting_requests: int = 0,
 ) -> WsgiApplication:
     """Build the WSGI application of an entry.
 
-    `most_waiting` is how many requests may wait for jobs at once; more
-    are refused, so that threads remain for the balancer's check. 0 sets
-    no limit.
+    `largest_body_bytes` limits the body of a request. `max_waiting_requests`
+    limits the requests that wait for jobs at once; further ones are
+    refused so that threads remain for the load balancer's health check.
+    0 sets no limit.
     """
-    return _Application(service, largest_body_bytes, most_waiting)
+    return _Application(service, largest_body_bytes, max_waiting_requests)
 
 
 class _Application:
-    """The WSGI application: finds the route, and answers every error."""
+    """Routes requests and turns every error into a response."""
 
     def __init__(
         self,
         service: EntryService,
         largest_body_bytes: int,
-        most_waiting: int,
+        max_waiting_requests: int,
     ) -> None:
         self._service = service
-        self._jobs = JobRoutes(service, largest_body_bytes, most_waiting)
+        self._jobs = JobRoutes(
+            service, largest_body_bytes, max_waiting_requests
+        )
         self._operators = OperatorRoutes(service, largest_body_bytes)
 
     def __call__(
@@ -73,7 +76,7 @@
         request = Request(environ)
         response = self._respond(request)
         if not self._service.is_accepting():
-            # Clients leave this entry before its connections are closed.
+            # Makes clients leave before the server closes their connections.
             response.headers['Connection'] = 'close'
         return response(environ, start_response)
 
@@ -86,7 +89,7 @@
             response = refusal_response(
                 error.code, error.message, error.status
             )
-            if error.is_cut_off:
+            if error.must_close_connection:
                 response.headers['Connection'] = 'close'
             return response
         except InvalidInput as error:
--- a/baobabgap/api/_body.py
+++ b/baobabgap/api/_body.py
@@ -1,4 +1,4 @@
-"""Reading the JSON document of a request, however broken it is."""
+"""Reads and validates the JSON body of a request."""
 
 import json
 from typing import Any
@@ -11,15 +11,15 @@
 from baobabgap.jobs import FailureCode
 
 _JSON_TYPE: Final = 'application/json'
-# cheroot's own text for a chunk above its limit.
+# Text of the error that cheroot raises for a chunk above its limit.
 _CHUNK_TOO_LARGE: Final = 'Request Entity Too Large'
 
 
 class RequestRefused(BaobabgapError):
-    """A request that broke the rules of HTTP or JSON; nothing was run.
+    """A request that violates HTTP or JSON rules; nothing was run.
 
-    If `is_cut_off`, the end of its body can't be found, and the
-    connection is of no more use.
+    If `must_close_connection`, the end of the body can't be located, so the
+    connection can't be reused and has to be closed.
     """
 
     def __init__(
@@ -28,16 +28,16 @@
         *,
         status: int,
         code: FailureCode,
-        is_cut_off: bool = False,
+        must_close_connection: bool = False,
     ) -> None:
         super().__init__(message, step='request')
         self.status = status
         self.code = code
-        self.is_cut_off = is_cut_off
+        self.must_close_connection = must_close_connection
 
 
 def read_document(request: Request, largest_body_bytes: int) -> Any:
-    """Return the decoded JSON body; raise `RequestRefused` if wrong."""
+    """Return the decoded JSON body; raise `RequestRefused` if invalid."""
     if request.mimetype != _JSON_TYPE:
         raise _invalid(
             f'the content type must be {_JSON_TYPE} '
@@ -61,26 +61,30 @@
     length = request.content_length
     if length is not None and length > largest_body_bytes:
         raise _too_large(largest_body_bytes)
-    wanted = largest_body_bytes + 1 if length is None else length
+    read_size_bytes = largest_body_bytes + 1 if length is None else length
     try:
-        body: bytes = stream.read(wanted)
+        body: bytes = stream.read(read_size_bytes)
     except MaxSizeExceeded as error:
         raise _too_large(largest_body_bytes) from error
     except TimeoutError as error:
-        raise _cut_off('the body did not arrive', status=408) from error
+        raise _unreadable_body(
+            'the body did not arrive', status=408
+        ) from error
     except (OSError, ValueError) as error:
         if str(error) == _CHUNK_TOO_LARGE:
             raise _too_large(largest_body_bytes) from error
-        raise _cut_off(f'the body is broken: {error}') from error
+        raise _unreadable_body(f'the body is broken: {error}') from error
     if len(body) > largest_body_bytes:
         raise _too_large(largest_body_bytes)
     if length is not None and len(body) < length:
-        raise _cut_off(f'the body ended after {len(body)} of {length} bytes')
+        raise _unreadable_body(
+            f'the body ended after {len(body)} of {length} bytes'
+        )
     return body
 
 
 def _refuse_lone_surrogates(document: Any) -> None:
-    """Refuse text that UTF-8, and so CBOR, has no form for."""
+    """Refuse text that can't be encoded as UTF-8, and so not as CBOR."""
     try:
         json.dumps(document, ensure_ascii=False).encode()
     except UnicodeEncodeError as error:
@@ -91,9 +95,12 @@
     return RequestRefused(message, status=status, code=FailureCode.INVALID)
 
 
-def _cut_off(message: str, status: int = 400) -> RequestRefused:
+def _unreadable_body(message: str, status: int = 400) -> RequestRefused:
     return RequestRefused(
-        message, status=status, code=FailureCode.INVALID, is_cut_off=True
+        message,
+        status=status,
+        code=FailureCode.INVALID,
+        must_close_connection=True,
     )
 
 
--- a/baobabgap/api/_documents.py
+++ b/baobabgap/api/_documents.py
@@ -1,4 +1,4 @@
-"""Answers as JSON documents, and the HTTP status of each."""
+"""Builds JSON responses and maps outcomes to HTTP statuses."""
 
 import json
 import math
@@ -91,18 +91,18 @@
 
 
 def pending_response(identifier: str) -> Response:
-    """Build the response for a job whose end isn't known here yet."""
+    """Build the response for a job whose result isn't known yet."""
     return json_response({'identifier': identifier, 'state': 'pending'}, 202)
 
 
 def refusal_response(code: FailureCode, message: str, status: int) -> Response:
-    """Build the response to a request that reached no job."""
+    """Build the response to a request refused before it reached a job."""
     failure = JobFailure(code, message, 'request', '', Ran.NO)
     return failure_response('', failure, status)
 
 
 def internal_response(error: Exception) -> Response:
-    """Build the response to a request that met a fault of the entry."""
+    """Build the response to a request that raised an unexpected error."""
     message = f'{type(error).__name__}: {error}'
     failure = JobFailure(
         FailureCode.INTERNAL, message, 'request', '', Ran.UNKNOWN
--- a/baobabgap/api/_job_routes.py
+++ b/baobabgap/api/_job_routes.py
@@ -1,4 +1,4 @@
-"""What the routes of jobs do: submit, fetch and cancel."""
+"""Handlers of the job routes: submit, fetch and cancel."""
 
 from concurrent.futures import Future
 import threading
@@ -21,82 +21,85 @@
 from baobabgap.jobs import JobSubmission
 from baobabgap.jobs import Ran
 
-# What an entry may take beyond a job's deadline to report its failure.
+# Time that an entry may take after a job's deadline to report failure.
 _ANSWER_GRACE_S: Final = 2.0
 _DEFAULT_FETCH_WAIT_MS: Final = 1000
 _LONGEST_FETCH_WAIT_MS: Final = 600_000
 _CANCEL_WAIT_S: Final = 10.0
-_BUSY_RETRY_S: Final = 1.0
-# How long a request may hold a thread once too many are waiting.
-_BUSY_WAIT_S: Final = 0.25
+_BUSY_RETRY_AFTER_S: Final = 1.0
+# How long a request may hold a thread once the limit is reached.
+_LIMITED_WAIT_S: Final = 0.25
 _UNKNOWN_JOB: Final = FailureCode.UNKNOWN_JOB
 
 
 class JobRoutes:
-    """Serves callers.
+    """Handles the requests of clients.
 
-    Each request that waits for a job holds a thread. No more than
-    `most_waiting` may do so at once; 0 sets no limit.
+    Each request that waits for a job holds a thread. At most
+    `max_waiting_requests` requests may do so at once; 0 sets no limit.
     """
 
     def __init__(
         self,
         service: EntryService,
         largest_body_bytes: int,
-        most_waiting: int,
+        max_waiting_requests: int,
     ) -> None:
         self._service = service
         self._largest_body_bytes = largest_body_bytes
-        self._most_waiting = most_waiting
-        self._waiting = 0
+        self._max_waiting_requests = max_waiting_requests
+        self._waiting_requests = 0
         self._lock = threading.Lock()
 
     def submit(self, request: Request) -> Response:
-        """Run a job and, unless asked not to, wait for its end."""
+        """Run a job and wait for its end, unless `wait=no` is given."""
         document = read_document(request, self._largest_body_bytes)
         submission = JobSubmission.from_document(document)
         identifier = submission.identifier
-        waits = request.args.get('wait', 'yes') != 'no'
-        if not self._enter():
-            return self._refuse_busy(identifier)
+        waits_for_end = request.args.get('wait', 'yes') != 'no'
+        if not self._acquire_wait_slot():
+            return self._respond_at_limit(identifier)
         try:
             with start_action(action_type='job', job=identifier) as action:
                 log_action = action.serialize_task_id().decode()
                 future = self._service.submit(submission, log_action)
                 wait_s = submission.deadline_ms / 1000 + _ANSWER_GRACE_S
-                if not waits:
-                    # Once this is answered, no entry may say `not run`.
+                if not waits_for_end:
+                    # After this response, no entry may report the job as not
+                    # run.
                     self._service.wait_for_claim(identifier, wait_s)
-                answer = _wait(future, wait_s if waits else 0.0)
-                action.add_success_fields(state=_state_of(answer))
+                answer = _wait_for_answer(
+                    future, wait_s if waits_for_end else 0.0
+                )
+                action.add_success_fields(state=_logged_state(answer))
         finally:
-            self._leave()
+            self._release_wait_slot()
         if answer is None:
             return pending_response(identifier)
         return answer_response(answer)
 
     def fetch(self, request: Request, identifier: str) -> Response:
-        """Wait a while for the end of a job."""
+        """Wait up to `wait_ms` for the end of a job."""
         JobIdentifier.from_text(identifier)
         wait_s = _read_wait_ms(request) / 1000
-        is_free = self._enter()
+        has_wait_slot = self._acquire_wait_slot()
         try:
-            wait_s = wait_s if is_free else min(wait_s, _BUSY_WAIT_S)
-            answer = _wait(self._service.fetch(identifier), wait_s)
+            wait_s = wait_s if has_wait_slot else min(wait_s, _LIMITED_WAIT_S)
+            answer = _wait_for_answer(self._service.fetch(identifier), wait_s)
         finally:
-            if is_free:
-                self._leave()
+            if has_wait_slot:
+                self._release_wait_slot()
         if answer is None:
             return pending_response(identifier)
         return answer_response(answer)
 
     def cancel(self, identifier: str) -> Response:
-        """End a job; that it was cancelled as asked is a success."""
+        """Cancel a job; the failure code `cancelled` counts as success."""
         JobIdentifier.from_text(identifier)
         with start_action(action_type='cancel_job', job=identifier) as action:
             future = self._service.cancel(identifier)
-            answer = _wait(future, _CANCEL_WAIT_S)
-            action.add_success_fields(state=_state_of(answer))
+            answer = _wait_for_answer(future, _CANCEL_WAIT_S)
+            action.add_success_fields(state=_logged_state(answer))
         if answer is None:
             return pending_response(identifier)
         failure = answer.failure
@@ -104,53 +107,60 @@
             return failure_response(identifier, failure, 200)
         return answer_response(answer)
 
-    def _enter(self) -> bool:
-        """Count one more waiting request, unless there are too many."""
+    def _acquire_wait_slot(self) -> bool:
+        """Reserve a place for a waiting request; False at the limit."""
         with self._lock:
-            if 0 < self._most_waiting <= self._waiting:
+            if 0 < self._max_waiting_requests <= self._waiting_requests:
                 return False
-            self._waiting += 1
+            self._waiting_requests += 1
             return True
 
-    def _leave(self) -> None:
+    def _release_wait_slot(self) -> None:
         with self._lock:
-            self._waiting -= 1
+            self._waiting_requests -= 1
 
-    def _refuse_busy(self, identifier: str) -> Response:
-        """Refuse a job unless it is known from an earlier request."""
+    def _respond_at_limit(self, identifier: str) -> Response:
+        """Refuse a job unless an earlier request has left its answer."""
         self._service.metrics.count('baobabgap_http_busy_total')
-        known = _wait(self._service.fetch(identifier), _BUSY_WAIT_S)
-        is_new = known is not None and _code_of(known) is _UNKNOWN_JOB
-        if known is not None and not is_new:
-            return answer_response(known)
+        known_answer = _wait_for_answer(
+            self._service.fetch(identifier), _LIMITED_WAIT_S
+        )
+        is_new = (
+            known_answer is not None
+            and _failure_code(known_answer) is _UNKNOWN_JOB
+        )
+        if known_answer is not None and not is_new:
+            return answer_response(known_answer)
         failure = JobFailure(
             FailureCode.OVERLOADED,
-            f'{self._most_waiting} requests are waiting here already',
+            f'{self._max_waiting_requests} requests are waiting here already',
             'request',
             '',
             Ran.NO if is_new else Ran.UNKNOWN,
-            _BUSY_RETRY_S,
+            _BUSY_RETRY_AFTER_S,
         )
         return failure_response(identifier, failure, 503)
 
 
-def _wait(future: Future[JobAnswer], timeout_s: float) -> JobAnswer | None:
-    """Return the answer, or None if it isn't there in time."""
+def _wait_for_answer(
+    future: Future[JobAnswer], timeout_s: float
+) -> JobAnswer | None:
+    """Return the answer, or None on timeout."""
     try:
         return future.result(timeout_s)
     except TimeoutError:
         return None
 
 
-def _state_of(answer: JobAnswer | None) -> str:
-    """Name the end of a job for the log."""
+def _logged_state(answer: JobAnswer | None) -> str:
+    """Return the state of a job as written to the log."""
     if answer is None:
         return 'pending'
-    code = _code_of(answer)
+    code = _failure_code(answer)
     return 'whole' if code is None else code.value
 
 
-def _code_of(answer: JobAnswer) -> FailureCode | None:
+def _failure_code(answer: JobAnswer) -> FailureCode | None:
     return None if answer.failure is None else answer.failure.code
 
 
--- a/baobabgap/api/_operator_routes.py
+++ b/baobabgap/api/_operator_routes.py
@@ -1,4 +1,4 @@
-"""What the routes of the balancer and of operators do."""
+"""Handlers of the load balancer and operator routes."""
 
 from dataclasses import asdict
 from typing import Any
@@ -20,37 +20,37 @@
 from baobabgap.jobs import Ran
 
 _CONTROL_WAIT_S: Final = 10.0
-_CONTROL_RETRY_S: Final = 1.0
+_CONTROL_RETRY_AFTER_S: Final = 1.0
 _CONTROL_TOPICS: Final = ('members', 'tickets', 'configuration', 'status')
 
 
 class OperatorRoutes:
-    """Serves the balancer and operators."""
+    """Handles the requests of load balancers and operators."""
 
     def __init__(self, service: EntryService, largest_body_bytes: int) -> None:
         self._service = service
         self._largest_body_bytes = largest_body_bytes
 
     def health(self) -> Response:
-        """Answer the balancer's check."""
-        return _check(self._service.is_accepting(), 'accepting')
+        """Answer the load balancer's health check."""
+        return _check_response(self._service.is_accepting(), 'accepting')
 
     def ready(self) -> Response:
-        """Tell whether a job would be run."""
-        return _check(self._service.is_ready(), 'ready')
+        """Report whether the entry could run a job now."""
+        return _check_response(self._service.is_ready(), 'ready')
 
     def metrics(self) -> Response:
-        """Show the metrics of the process."""
+        """Return the metrics of the process as Prometheus text."""
         text = self._service.metrics.as_prometheus_text()
         return Response(text, mimetype='text/plain')
 
     def drain(self) -> Response:
-        """Begin a planned stop's draining."""
+        """Start draining the entry before a planned stop."""
         self._service.drain()
         return json_response({'status': 'draining'}, 202)
 
     def put_ticket(self, request: Request) -> Response:
-        """Hand a ticket to the control group and tell what became of it."""
+        """Submit a ticket to the control group and return its outcome."""
         document = read_document(request, self._largest_body_bytes)
         number, state_by_key = _read_ticket(document)
         try:
@@ -65,7 +65,7 @@
         return json_response(document, STATUS_BY_TICKET_STATUS[outcome.status])
 
     def query_control(self, topic: str) -> Response:
-        """Show a page of the control group."""
+        """Return a status page of the control group."""
         if topic not in _CONTROL_TOPICS:
             allowed = ', '.join(_CONTROL_TOPICS)
             message = f'no page {topic!r}; there are {allowed}'
@@ -78,7 +78,7 @@
 
 
 def _read_ticket(document: Any) -> tuple[int, dict[str, Any]]:
-    """Return number and state of `{"number": 7, "state": {...}}`."""
+    """Return the number and state from `{"number": 7, "state": {...}}`."""
     if not isinstance(document, dict) or set(document) != {'number', 'state'}:
         raise InvalidInput(
             'a ticket is a map with the keys number and state', step='ticket'
@@ -95,9 +95,9 @@
     return number, state_by_key
 
 
-def _check(good: bool, name: str) -> Response:
-    status = name if good else f'not {name}'
-    return json_response({'status': status}, 200 if good else 503)
+def _check_response(passed: bool, name: str) -> Response:
+    status = name if passed else f'not {name}'
+    return json_response({'status': status}, 200 if passed else 503)
 
 
 def _control_unavailable(error: Exception, ran: Ran) -> Response:
@@ -110,6 +110,6 @@
         step,
         peer,
         ran,
-        _CONTROL_RETRY_S,
+        _CONTROL_RETRY_AFTER_S,
     )
     return failure_response('', failure, 503)
--- a/baobabgap/api/_service.py
+++ b/baobabgap/api/_service.py
@@ -1,4 +1,4 @@
-"""What the HTTP face needs of the entry behind it."""
+"""The interface that the HTTP application needs from an entry."""
 
 from concurrent.futures import Future
 from typing import Any
@@ -11,12 +11,12 @@
 
 
 class EntryService(Protocol):
-    """An entry as its HTTP face sees it.
+    """The operations of an entry that its HTTP application calls.
 
-    The futures of jobs always end with a `JobAnswer`: a refusal or a
+    The futures of jobs always resolve to a `JobAnswer`: a refusal or a
     failure is an answer too. The futures of `put_ticket` and
-    `query_control` end with a `BaobabgapError` if the control group can't
-    be asked.
+    `query_control` raise a `BaobabgapError` if the control group is
+    unavailable.
     """
 
     @property
@@ -26,30 +26,30 @@
     def submit(
         self, submission: JobSubmission, log_action: str
     ) -> Future[JobAnswer]:
-        """Run a job, or join it if it is known already."""
+        """Run a job, or join it if it is already known."""
 
     def wait_for_claim(self, identifier: str, timeout_s: float) -> None:
-        """Wait until other entries can find the job, or it has ended."""
+        """Wait until other entries can find the job or it has ended."""
 
     def fetch(self, identifier: str) -> Future[JobAnswer]:
-        """Join a running job or find the kept answer of an ended one."""
+        """Join a running job or return the stored answer of an ended one."""
 
     def cancel(self, identifier: str) -> Future[JobAnswer]:
         """Cancel a job and return how it ended."""
 
     def is_accepting(self) -> bool:
-        """Tell whether the balancer should send new requests here."""
+        """Return whether the load balancer should send new requests."""
 
     def is_ready(self) -> bool:
-        """Tell whether control and an upstream or more are connected."""
+        """Return whether control and at least one upstream are connected."""
 
     def put_ticket(
         self, number: int, state_by_key: dict[str, Any]
     ) -> Future[TicketOutcome]:
-        """Hand a change ticket to the control group."""
+        """Submit a change ticket to the control group."""
 
     def query_control(self, topic: str) -> Future[Any]:
-        """Ask the control group for one of its pages."""
+        """Request a status page from the control group."""
 
     def drain(self) -> None:
-        """Begin the draining of a planned stop; return at once."""
+        """Start draining for a planned stop; return without waiting."""
--- a/baobabgap/api/tests/fake_service.py
+++ b/baobabgap/api/tests/fake_service.py
@@ -1,4 +1,4 @@
-"""A small fake entry that answers as a test tells it to."""
+"""A fake entry that returns the answers configured by a test."""
 
 from concurrent.futures import Future
 from typing import Any
@@ -13,24 +13,24 @@
 from baobabgap.messages import TicketStatus
 from baobabgap.telemetry import Metrics
 
-JOB = 'kurek.1764800000000.heat-4'
-WHOLE = JobAnswer(JOB, (TaskAnswer('t1', {'seat': 3}),))
+JOB_ID = 'kurek.1764800000000.heat-4'
+WHOLE_ANSWER = JobAnswer(JOB_ID, (TaskAnswer('t1', {'seat': 3}),))
 
 
-def failed(
+def failed_answer(
     code: FailureCode, ran: Ran = Ran.NO, retry_after_s: float = 0.0
 ) -> JobAnswer:
-    """Build the answer of a job that was refused or has failed."""
+    """Build the answer of a refused or failed job."""
     failure = JobFailure(code, 'why', 'place', 'agent-1', ran, retry_after_s)
-    return JobAnswer.from_failure(JOB, failure)
+    return JobAnswer.from_failure(JOB_ID, failure)
 
 
 class FakeService:
-    """Answers every job with `answer`, or never if that is None."""
+    """Answers every job with `answer`; its futures stay pending if None."""
 
     def __init__(self) -> None:
         self.metrics = Metrics()
-        self.answer: JobAnswer | None = WHOLE
+        self.answer: JobAnswer | None = WHOLE_ANSWER
         self.error: Exception | None = None
         self.accepting = True
         self.submissions: list[JobSubmission] = []
@@ -42,53 +42,53 @@
     def submit(
         self, submission: JobSubmission, log_action: str
     ) -> Future[JobAnswer]:
-        """Keep what was submitted and answer."""
+        """Record the submission and return the configured answer."""
         self.submissions.append(submission)
         self.log_actions.append(log_action)
-        return self._answered()
+        return self._answer_future()
 
     def wait_for_claim(self, identifier: str, timeout_s: float) -> None:
-        """Note that the claim was waited for."""
+        """Record that the claim was awaited."""
         self.awaited_claims.append(identifier)
 
     def fetch(self, identifier: str) -> Future[JobAnswer]:
-        """Answer as told."""
-        return self._answered()
+        """Return the configured answer."""
+        return self._answer_future()
 
     def cancel(self, identifier: str) -> Future[JobAnswer]:
-        """Answer as told."""
-        return self._answered()
+        """Return the configured answer."""
+        return self._answer_future()
 
     def is_accepting(self) -> bool:
-        """Tell what the test set."""
+        """Return the configured value."""
         return self.accepting
 
     def is_ready(self) -> bool:
-        """Tell what the test set."""
+        """Return the configured value."""
         return self.accepting
 
     def drain(self) -> None:
-        """Accept no more."""
+        """Stop accepting."""
         self.accepting = False
 
     def put_ticket(
         self, number: int, state_by_key: dict[str, Any]
     ) -> Future[TicketOutcome]:
-        """Keep the ticket and answer with the status told."""
+        """Record the ticket and return the configured status."""
         self.tickets.append((number, state_by_key))
         outcome = TicketOutcome(1, self.ticket_status, number, 7, 'why')
-        return self._ended(outcome)
+        return self._resolved_future(outcome)
 
     def query_control(self, topic: str) -> Future[Any]:
         """Return a page that names its topic."""
-        return self._ended({'topic': topic})
+        return self._resolved_future({'topic': topic})
 
-    def _answered(self) -> Future[JobAnswer]:
+    def _answer_future(self) -> Future[JobAnswer]:
         if self.answer is None and self.error is None:
             return Future()
-        return self._ended(self.answer)
+        return self._resolved_future(self.answer)
 
-    def _ended(self, result: Any) -> Future[Any]:
+    def _resolved_future(self, result: Any) -> Future[Any]:
         future: Future[Any] = Future()
         if self.error is not None:
             future.set_exception(self.error)
--- a/baobabgap/tool/tests/test_tool.py
+++ b/baobabgap/tool/tests/test_tool.py
@@ -16,10 +16,10 @@
 import unittest
 
 from baobabgap.api import create_application
-from baobabgap.api.tests.fake_service import failed
+from baobabgap.api.tests.fake_service import failed_answer
 from baobabgap.api.tests.fake_service import FakeService
-from baobabgap.api.tests.fake_service import JOB
-from baobabgap.api.tests.fake_service import WHOLE
+from baobabgap.api.tests.fake_service import JOB_ID
+from baobabgap.api.tests.fake_service import WHOLE_ANSWER
 from baobabgap.jobs import FailureCode
 from baobabgap.jobs import JobAnswer
 from baobabgap.jobs import JobSubmission
@@ -34,12 +34,12 @@
 name: upstream-1
 stand_in: {agent_address: '127.0.0.1:17031'}
 """
-_DRAINING = failed(FailureCode.DRAINING, Ran.NO, 60.0)
-_BUSY = failed(FailureCode.OVERLOADED, Ran.NO, 0.01)
-_NEVER = failed(FailureCode.NEVER_FITS, Ran.NO)
-_NO_CONTROL = failed(FailureCode.CONTROL_UNAVAILABLE, Ran.UNKNOWN, 0.01)
-_LOST = failed(FailureCode.TASK_LOST, Ran.UNKNOWN)
-_UNKNOWN = failed(FailureCode.UNKNOWN_JOB, Ran.NO)
+_DRAINING = failed_answer(FailureCode.DRAINING, Ran.NO, 60.0)
+_BUSY = failed_answer(FailureCode.OVERLOADED, Ran.NO, 0.01)
+_NEVER = failed_answer(FailureCode.NEVER_FITS, Ran.NO)
+_NO_CONTROL = failed_answer(FailureCode.CONTROL_UNAVAILABLE, Ran.UNKNOWN, 0.01)
+_LOST = failed_answer(FailureCode.TASK_LOST, Ran.UNKNOWN)
+_UNKNOWN = failed_answer(FailureCode.UNKNOWN_JOB, Ran.NO)
 
 
 class _ScriptedService(FakeService):
@@ -71,7 +71,7 @@
         self.service = _ScriptedService()
         self.address = self.serve(self.service)
         self.job = {
-            'identifier': JOB,
+            'identifier': JOB_ID,
             'team': 'rowing',
             'deadline_ms': 5000,
             'tasks': [{'identifier': 't1', 'kind': 'seat'}],
@@ -120,9 +120,9 @@
 
     def test_exit_codes(self) -> None:
         cases: dict[str, tuple[list[JobAnswer], int, str]] = {
-            'whole': ([WHOLE], 0, 'whole'),
-            'busy, then whole': ([_BUSY, WHOLE], 0, 'whole'),
-            'unclaimed, then whole': ([_NO_CONTROL, WHOLE], 0, 'whole'),
+            'whole': ([WHOLE_ANSWER], 0, 'whole'),
+            'busy, then whole': ([_BUSY, WHOLE_ANSWER], 0, 'whole'),
+            'unclaimed, then whole': ([_NO_CONTROL, WHOLE_ANSWER], 0, 'whole'),
             'refused for good': ([_NEVER], 4, 'refused'),
             'failed': ([_LOST], 1, 'failed'),
             'busy, then failed': ([_BUSY, _LOST], 1, 'failed'),
@@ -140,7 +140,7 @@
             _, lines = self.submit(self.job, entries=f'{gone},{self.address}')
             self.assertEqual(('whole', 2), _state_and_attempts(lines[0]))
         sent = {one.identifier for one in self.service.submissions}
-        self.assertEqual({JOB}, sent)
+        self.assertEqual({JOB_ID}, sent)
 
     def test_refusal_after_a_lost_request_settles_nothing(self) -> None:
         entries = f'{self._vanish()},{self.address}'
@@ -150,7 +150,7 @@
         code, lines = self.submit(self.job, entries=entries)
         self.assertEqual((3, 'unknown'), (code, lines[0]['state']))
         self.service.script = [_NEVER]
-        self.service.answer = WHOLE
+        self.service.answer = WHOLE_ANSWER
         entries = f'{self._vanish()},{self.address}'
         code, lines = self.submit(self.job, entries=entries)
         self.assertEqual((0, 'whole'), (code, lines[0]['state']))
@@ -230,14 +230,14 @@
     """Each command does what it says, and nothing when mistyped."""
 
     def test_status_and_cancel(self) -> None:
-        cancelled = failed(FailureCode.CANCELLED, Ran.UNKNOWN)
+        cancelled = failed_answer(FailureCode.CANCELLED, Ran.UNKNOWN)
         cases: dict[str, tuple[str, JobAnswer | None, int]] = {
-            'whole': ('status', WHOLE, 0),
+            'whole': ('status', WHOLE_ANSWER, 0),
             'failed': ('status', _LOST, 1),
             'unknown': ('status', _UNKNOWN, 4),
             'pending': ('status', None, 5),
             'cancelled': ('cancel', cancelled, 0),
-            'too late': ('cancel', WHOLE, 0),
+            'too late': ('cancel', WHOLE_ANSWER, 0),
             'cancelled before': ('status', cancelled, 1),
         }
         for name, (command, answer, code) in cases.items():
@@ -245,10 +245,10 @@
                 self.service.answer = answer
                 options = ['--wait_ms=1'] if command == 'status' else []
                 found, output, _ = self.run_tool(
-                    command, JOB, '--entries', self.address, *options
+                    command, JOB_ID, '--entries', self.address, *options
                 )
                 self.assertEqual(code, found)
-                self.assertIn(JOB, output)
+                self.assertIn(JOB_ID, output)
 
     def test_ticket(self) -> None:
         state = {'quota/rowing': {'tasks_per_second': 5}}
@@ -328,13 +328,13 @@
                 **fields,
             }
             for number, status, fields in (
-                (1, 'started', {'job': JOB}),
+                (1, 'started', {'job': JOB_ID}),
                 (2, 'succeeded', {'state': 'deadline'}),
             )
         ]
         path = self.write('log', '\n'.join(map(json.dumps, lines)))
         checks: dict[str, Callable[[str], None]] = {
-            JOB: lambda text: self.assertIn('10.000', text),
+            JOB_ID: lambda text: self.assertIn('10.000', text),
             path: lambda text: self.assertIn('1 without answer', text),
         }
         for first, check in checks.items():
