--- a/baobabgap/telemetry/_logs.py
+++ b/baobabgap/telemetry/_logs.py
@@ -15,8 +15,8 @@
 def start_logging(log_file: str, process: str, role: str) -> None:
     """Send all log messages of this process to a file or standard error.
 
-    Every line names the process, so that the lines of several files can
-    be merged into one time line.
+    Every line names the process so that the lines of several files can
+    be merged into one timeline.
     """
     add_global_fields(process=process, role=role)
     if log_file:
@@ -28,7 +28,7 @@
 
 
 def start_bounded_logging(process: str, role: str) -> BoundedSink:
-    """Write log messages to standard output, without ever blocking."""
+    """Write log messages to standard output without blocking."""
     sink = BoundedSink(sys.stdout.buffer)
     sink.add_fields(process=process, role=role)
     add_global_fields(process=process, role=role)
--- a/baobabgap/telemetry/_metrics.py
+++ b/baobabgap/telemetry/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms, shown as Prometheus text."""
+"""Counters, gauges and histograms in Prometheus text format."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 _LOWEST_US: Final = 1
 _HIGHEST_US: Final = 600_000_000
 _SIGNIFICANT_DIGITS: Final = 2
-_QUANTILES: Final = (50.0, 90.0, 99.0, 99.9)
+_PERCENTILES: Final = (50.0, 90.0, 99.0, 99.9)
 
 
 class Metrics:
     """The metrics of one process.
 
-    A metric is named by its name and its labels in Prometheus's own
+    A metric is identified by its name and labels in Prometheus
     notation::
 
         metrics.count('baobabgap_jobs_total{end="whole"}')
@@ -33,7 +33,7 @@
         self._sources: list[Callable[[], Mapping[str, float]]] = []
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         with self._lock:
             self._count_by_name[name] += amount
 
@@ -50,22 +50,22 @@
             histogram.record_value(microseconds)
 
     def gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Show what `read` returns whenever the metrics are shown."""
+        """Register a gauge whose value is read at each export."""
         with self._lock:
             self._gauge_by_name[name] = read
 
     def add_source(self, read: Callable[[], Mapping[str, float]]) -> None:
-        """Show all metrics that `read` returns, by their names."""
+        """Register a function that returns values by metric name."""
         with self._lock:
             self._sources.append(read)
 
     def value(self, name: str) -> int:
-        """Return the value of a counter; 0 if it was never counted."""
+        """Return the value of a counter; 0 if it was never increased."""
         with self._lock:
             return self._count_by_name[name]
 
     def as_prometheus_text(self) -> str:
-        """Return all metrics in Prometheus's text format."""
+        """Return all metrics in the Prometheus text format."""
         with self._lock:
             gauges = dict(self._gauge_by_name)
             sources = list(self._sources)
@@ -87,7 +87,7 @@
     lines = [
         f'{name}{{quantile="{percent / 100:g}"}} '
         f'{histogram.get_value_at_percentile(percent) / 1e6:g}'
-        for percent in _QUANTILES
+        for percent in _PERCENTILES
     ]
     lines.append(f'{name}_count {histogram.get_total_count()}')
     return lines
--- a/baobabgap/telemetry/_records.py
+++ b/baobabgap/telemetry/_records.py
@@ -1,4 +1,4 @@
-"""Reading the log files of several processes."""
+"""Reads and parses the log files of several processes."""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 from typing import Any
 from typing import Final
 
-_OWN_KEYS: Final = frozenset(
+_RESERVED_KEYS: Final = frozenset(
     {
         'action_status',
         'action_type',
@@ -26,26 +26,26 @@
 class LogRecord:
     """One line of a log file."""
 
-    # Microseconds since 1970 on the clock of the process's host.
+    # Microseconds since the Unix epoch on the clock of the process's host.
     timestamp_us: int
-    # The process that wrote it.
+    # The name of the process that wrote it.
     process: str
     # The role of that process.
     role: str
-    # What happened: a message's type, or an action's type and status.
+    # The message type, or the action type and status.
     event: str
-    # The tree of actions that it belongs to.
+    # The eliot task, a tree of actions, that it belongs to.
     task_uuid: str
-    # Where in that tree it stands.
+    # The position in that tree.
     task_level: tuple[int, ...]
-    # Everything else that was logged.
+    # All other logged fields.
     field_by_name: dict[str, Any]
 
     @classmethod
     def from_line(cls, line: str) -> 'LogRecord | None':
-        """Parse one line, or return None if it is no line of ours.
+        """Parse one line, or return None if it is not a valid record.
 
-        A process that dies while it writes leaves a line cut short.
+        A process that dies during a write leaves a truncated line.
         """
         try:
             document = json.loads(line)
@@ -55,13 +55,13 @@
                 timestamp_us=round(float(document['timestamp']) * 1e6),
                 process=str(document.get('process', '')),
                 role=str(document.get('role', '')),
-                event=_event_of(document),
+                event=_event_name(document),
                 task_uuid=str(document['task_uuid']),
                 task_level=tuple(int(n) for n in document['task_level']),
                 field_by_name={
                     name: value
                     for name, value in document.items()
-                    if name not in _OWN_KEYS
+                    if name not in _RESERVED_KEYS
                 },
             )
         except (ValueError, OverflowError, LookupError, TypeError):
@@ -69,18 +69,18 @@
 
     @property
     def job(self) -> str:
-        """The job that the record names, or an empty text."""
+        """The job that the record names, or an empty string."""
         return str(self.field_by_name.get('job', ''))
 
 
 def read_records(
     paths: Sequence[str | Path], *, containing: Sequence[str] = ()
 ) -> Iterator[LogRecord]:
-    """Yield the records of files, file by file.
+    """Yield the records of all files, one file after the other.
 
-    With `containing`, only lines with one of these texts are parsed, so
-    that a job is found in large files in a short time. Raises `OSError`
-    if a file can't be read.
+    With `containing`, only lines with one of these strings are parsed,
+    which makes the search for a job in large files fast. Raises
+    `OSError` if a file can't be read.
     """
     for path in paths:
         with open(path, encoding='utf-8', errors='replace') as lines:
@@ -92,7 +92,7 @@
                     yield record
 
 
-def _event_of(document: dict[str, Any]) -> str:
+def _event_name(document: dict[str, Any]) -> str:
     if 'message_type' in document:
         return str(document['message_type'])
     return f'{document["action_type"]} {document["action_status"]}'
--- a/baobabgap/telemetry/tests/test_bounded_sink.py
+++ b/baobabgap/telemetry/tests/test_bounded_sink.py
@@ -1,4 +1,4 @@
-"""Log lines under load, and with a reader that doesn't read."""
+"""Tests of the log destination under load and with a stalled reader."""
 
 import io
 import json
@@ -9,23 +9,23 @@
 
 from baobabgap.telemetry import BoundedSink
 
-WAIT_S = 20.0
-MESSAGES = 20_000
+TIMEOUT_S = 20.0
+MESSAGE_COUNT = 20_000
 
 
 class BlockedStream(io.BytesIO):
-    """Takes nothing until it is let go."""
+    """Blocks writes until `released` is set."""
 
     def __init__(self) -> None:
         super().__init__()
         self.released = threading.Event()
 
     def write(self, data: Any) -> int:
-        self.released.wait(WAIT_S)
+        self.released.wait(TIMEOUT_S)
         return super().write(data)
 
 
-def lines_of(stream: io.BytesIO) -> list[dict[str, Any]]:
+def parse_lines(stream: io.BytesIO) -> list[dict[str, Any]]:
     return [json.loads(line) for line in stream.getvalue().splitlines()]
 
 
@@ -35,38 +35,42 @@
         sink = BoundedSink(stream)
         sink({'message_type': 'a', 'value': 1})
         sink({'message_type': 'b', 'value': OSError('x')})
-        sink.flush(WAIT_S)
+        sink.flush(TIMEOUT_S)
         self.assertEqual(
-            ['a', 'b'], [line['message_type'] for line in lines_of(stream)]
+            ['a', 'b'], [line['message_type'] for line in parse_lines(stream)]
         )
 
-    def test_blocked_reader_blocks_nobody_and_drops_are_counted(
+    def test_blocked_reader_blocks_no_caller_and_drops_are_counted(
         self,
     ) -> None:
         stream = BlockedStream()
         sink = BoundedSink(stream)
         sink.add_fields(process='p')
-        # Would never end if the callers waited for the reader.
-        for number in range(MESSAGES):
+        # Would never end if a full queue blocked the callers.
+        for number in range(MESSAGE_COUNT):
             sink({'message_type': 'm', 'number': number})
         stream.released.set()
-        give_up_at = time.monotonic() + WAIT_S
-        while time.monotonic() < give_up_at:
-            sink.flush(WAIT_S)
-            dropped = [
+        deadline = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline:
+            sink.flush(TIMEOUT_S)
+            drop_reports = [
                 line
-                for line in lines_of(stream)
+                for line in parse_lines(stream)
                 if line['message_type'] == 'log_lines_dropped'
             ]
-            written = len(lines_of(stream)) - len(dropped)
-            if written + sum(line['count'] for line in dropped) == MESSAGES:
+            written_count = len(parse_lines(stream)) - len(drop_reports)
+            if (
+                written_count + sum(line['count'] for line in drop_reports)
+                == MESSAGE_COUNT
+            ):
                 break
             time.sleep(0.05)
         self.assertEqual(
-            MESSAGES, written + sum(line['count'] for line in dropped)
+            MESSAGE_COUNT,
+            written_count + sum(line['count'] for line in drop_reports),
         )
-        self.assertLess(written, MESSAGES)
-        self.assertEqual('p', dropped[0]['process'])
+        self.assertLess(written_count, MESSAGE_COUNT)
+        self.assertEqual('p', drop_reports[0]['process'])
 
 
 if __name__ == '__main__':
--- a/baobabgap/telemetry/tests/test_timeline.py
+++ b/baobabgap/telemetry/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Tests of time lines on small planted log files."""
+"""Tests of timelines on small generated log files."""
 
 import json
 from pathlib import Path
@@ -37,7 +37,7 @@
 
 
 class TestTimeline(unittest.TestCase):
-    """Events of all processes come in one order, clocks notwithstanding."""
+    """Events of all processes are put in causal order despite clock skew."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -66,7 +66,7 @@
             {'version': 7}, timeline.events[1].record.field_by_name
         )
 
-    def test_shifts_late_clocks(self) -> None:
+    def test_shifts_clocks_that_are_behind(self) -> None:
         records = [
             _line('agent-1', -4.9, [3, 2, 1], message_type='ended'),
             _line('agent-1', -5.0, [3, 1], message_type='started'),
@@ -83,10 +83,10 @@
         self.assertAlmostEqual(5002.0, shift_ms['agent-1'], places=3)
 
     def test_resubmission_joins_both_trees(self) -> None:
-        second = {'task_uuid': 'tree-2'}
+        second_tree = {'task_uuid': 'tree-2'}
         records = [
             _line('entry-1', 0.0, [1], **_STARTED),
-            _line('entry-2', 0.5, [1], **_STARTED | second),
+            _line('entry-2', 0.5, [1], **_STARTED | second_tree),
         ]
         timeline = Timeline.from_files(_JOB, [self._write('l', records)])
         processes = [event.record.process for event in timeline.events]
@@ -94,15 +94,15 @@
         empty = Timeline.from_files('kurek.1.b', [self._folder / 'l'])
         self.assertEqual((), empty.events)
 
-    def test_reads_what_eliot_writes(self) -> None:
+    def test_reads_eliot_output(self) -> None:
         path = self._folder / 'log'
         with path.open('wb') as stream:
             destination = FileDestination(file=stream)
             Logger._destinations.add(destination)
             self.addCleanup(Logger._destinations.remove, destination)
             with start_action(action_type='job', job=_JOB) as action:
-                handed_over = action.serialize_task_id()
-                with Action.continue_task(task_id=handed_over):
+                serialized_task_id = action.serialize_task_id()
+                with Action.continue_task(task_id=serialized_task_id):
                     log_message(message_type='started', task='t1')
                 action.add_success_fields(state='whole')
         timeline = Timeline.from_files(_JOB, [path])
@@ -112,22 +112,24 @@
         self.assertEqual('job succeeded', events[-1])
 
     def test_summary_lists_the_slowest_first(self) -> None:
-        slow = {'task_uuid': 'tree-2'}
+        slow_tree = {'task_uuid': 'tree-2'}
         records = [
             _line('entry-1', 0.0, [1], **_STARTED),
-            _line('entry-1', 0.0, [1], **_STARTED | slow),
+            _line('entry-1', 0.0, [1], **_STARTED | slow_tree),
             _line('entry-1', 0.1, [2], **_ENDED, state='whole'),
-            _line('entry-1', 0.4, [2], **_ENDED | slow, state='deadline'),
+            _line('entry-1', 0.4, [2], **_ENDED | slow_tree, state='deadline'),
         ]
         path = self._write('l', records)
-        found = summarize_jobs(read_records([path]))
-        self.assertEqual(['deadline', 'whole'], [one.state for one in found])
-        self.assertAlmostEqual(400.0, found[0].duration_ms, places=3)
+        summaries = summarize_jobs(read_records([path]))
+        self.assertEqual(
+            ['deadline', 'whole'], [summary.state for summary in summaries]
+        )
+        self.assertAlmostEqual(400.0, summaries[0].duration_ms, places=3)
 
     def _write(
-        self, name: str, records: list[dict[str, Any]], *broken: str
+        self, name: str, records: list[dict[str, Any]], *broken_lines: str
     ) -> Path:
         path = self._folder / name
         lines = [json.dumps(record) for record in records]
-        path.write_text('\n'.join([*lines, *broken]) + '\n')
+        path.write_text('\n'.join([*lines, *broken_lines]) + '\n')
         return path
