--- a/baobabgap/daemon/__init__.py
+++ b/baobabgap/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon `baobabgapd`: one process, one role."""
+"""The daemon `baobabgapd`, which runs one role per process."""
 
 from baobabgap.daemon._main import main
 
--- a/baobabgap/daemon/__main__.py
+++ b/baobabgap/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon by `python -m baobabgap.daemon`."""
+"""Runs the daemon as `python -m baobabgap.daemon`."""
 
 import sys
 
--- a/baobabgap/daemon/_main.py
+++ b/baobabgap/daemon/_main.py
@@ -12,8 +12,8 @@
 
 
 def main() -> int:
-    """Run one role until it is asked to stop; return the exit status."""
-    arguments = _parser().parse_args()
+    """Run one role until a stop signal; return the exit status."""
+    arguments = _build_parser().parse_args()
     try:
         run_role(_settings_from(arguments))
     except BaobabgapError as error:
@@ -35,13 +35,15 @@
     return settings_from_document(document, source='command line')
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog='baobabgapd', description='Runs one role of baobabgap.'
     )
-    what = parser.add_mutually_exclusive_group(required=True)
-    what.add_argument('--settings', help='a YAML file; see examples/local')
-    what.add_argument(
+    role_source = parser.add_mutually_exclusive_group(required=True)
+    role_source.add_argument(
+        '--settings', help='a YAML file; see examples/local'
+    )
+    role_source.add_argument(
         '--role',
         choices=['standalone'],
         help='all roles and a stand-in upstream in one process',
--- a/baobabgap/daemon/_run.py
+++ b/baobabgap/daemon/_run.py
@@ -1,4 +1,4 @@
-"""Starts a role and stops it when asked to."""
+"""Runs a role until a stop signal arrives."""
 
 from collections.abc import Sequence
 import signal
@@ -17,13 +17,13 @@
 
 
 class RoleProcess(Protocol):
-    """What the daemon needs of a role."""
+    """The interface of a role that the daemon runs."""
 
     def start(self) -> None:
-        """Begin to work."""
+        """Start the role and return."""
 
     def stop(self) -> None:
-        """Stop as planned; returns when all is done."""
+        """Stop gracefully; return when the role has stopped."""
 
 
 def build_role(settings: Settings) -> RoleProcess:
@@ -45,19 +45,19 @@
     settings: Settings,
     signals: Sequence[int] = (signal.SIGTERM, signal.SIGINT),
 ) -> None:
-    """Run a role until the first stop signal, then stop it as planned.
+    """Run a role until the first stop signal, then stop it gracefully.
 
-    Further signals change nothing: the stop is already under way.
+    Further signals have no effect: the stop is already in progress.
     """
-    asked_to_stop = threading.Event()
+    stop_requested = threading.Event()
 
-    def ask(number: int, frame: FrameType | None) -> None:
-        asked_to_stop.set()
+    def request_stop(signal_number: int, frame: FrameType | None) -> None:
+        stop_requested.set()
 
-    for number in signals:
-        signal.signal(number, ask)
+    for signal_number in signals:
+        signal.signal(signal_number, request_stop)
     start_logging(settings.log_file, settings.name, settings.role)
     role = build_role(settings)
     role.start()
-    asked_to_stop.wait()
+    stop_requested.wait()
     role.stop()
--- a/baobabgap/daemon/_standalone.py
+++ b/baobabgap/daemon/_standalone.py
@@ -1,4 +1,4 @@
-"""All roles in one process, with a stand-in upstream, for a first look."""
+"""All roles in one process with a stand-in upstream, for evaluation."""
 
 from dataclasses import replace
 
@@ -15,16 +15,16 @@
 class Standalone:
     """One control host, entry, agent and stand-in upstream together.
 
-    The entry's HTTP port is that of the settings; all other ports are
-    chosen freely on the same host.
+    The entry listens on the HTTP port of the settings; all other ports
+    are free ones on the same host.
     """
 
     def __init__(self, settings: Settings) -> None:
         host = settings.listen.host
-        inner = replace(settings, listen=Listen(host))
+        shared_settings = replace(settings, listen=Listen(host))
         self._control = ControlHostProcess.from_settings(
             replace(
-                inner,
+                shared_settings,
                 role=Role.CONTROL,
                 name='control-1',
                 control_hosts=(ControlHost('control-1', host, 0),),
@@ -33,25 +33,29 @@
         control_host = ControlHost(
             'control-1', host, self._control.internal_port
         )
-        inner = replace(inner, control_hosts=(control_host,))
+        shared_settings = replace(
+            shared_settings, control_hosts=(control_host,)
+        )
         self._entry = Entry.from_settings(
             replace(
-                inner,
+                shared_settings,
                 role=Role.ENTRY,
                 name='entry-1',
                 listen=Listen(host, 0, settings.listen.http_port),
             )
         )
         self._agent = Agent.from_settings(
-            replace(inner, role=Role.AGENT, name='agent-1')
+            replace(shared_settings, role=Role.AGENT, name='agent-1')
         )
         agent_address = f'{host}:{self._agent.http_port}'
         self._upstream = StandInUpstream.from_settings(
             replace(
-                inner,
+                shared_settings,
                 role=Role.STAND_IN,
                 name='upstream-1',
-                stand_in=replace(inner.stand_in, agent_address=agent_address),
+                stand_in=replace(
+                    shared_settings.stand_in, agent_address=agent_address
+                ),
             )
         )
 
@@ -62,18 +66,18 @@
 
     @property
     def http_port(self) -> int:
-        """Where callers and operators connect."""
+        """The HTTP port for clients and operators."""
         return self._entry.http_port
 
     def start(self) -> None:
-        """Start the roles, each after the ones that it needs."""
+        """Start the roles, each after those it depends on."""
         self._control.start()
         self._entry.start()
         self._agent.start()
         self._upstream.start()
 
     def stop(self) -> None:
-        """Stop the roles, each before the ones that it needs."""
+        """Stop the roles, each before those it depends on."""
         self._entry.stop()
         self._agent.stop()
         self._upstream.stop()
