--- a/baobabgap/tool/__init__.py
+++ b/baobabgap/tool/__init__.py
@@ -1,4 +1,4 @@
-"""The command-line tool for callers and operators."""
+"""The command-line tool for clients and operators."""
 
 import sys
 
@@ -9,7 +9,7 @@
 from baobabgap._exceptions import InvalidInput
 from baobabgap._exceptions import SettingsError
 from baobabgap.tool._commands import Commands
-from baobabgap.tool._commands import Plan
+from baobabgap.tool._commands import DeferredAction
 from baobabgap.tool._exit import ExitCode
 from baobabgap.tool._exit import ToolError
 
@@ -18,20 +18,20 @@
 
 def main(arguments: list[str] | None = None) -> int:
     """Run one command and return its exit code."""
-    plan = Plan()
+    deferred_action = DeferredAction()
     try:
-        Fire(Commands(plan), command=arguments, name='baobabgap')
-        if plan.action is None:
+        Fire(Commands(deferred_action), command=arguments, name='baobabgap')
+        if deferred_action.action is None:
             return ExitCode.USAGE
-        return plan.action()
+        return deferred_action.action()
     except ToolError as error:
-        return _explain(error, error.exit_code)
+        return _print_error(error, error.exit_code)
     except (InvalidInput, SettingsError) as error:
-        return _explain(error, ExitCode.USAGE)
+        return _print_error(error, ExitCode.USAGE)
     except ConnectionLost as error:
-        return _explain(error, ExitCode.UNREACHABLE)
+        return _print_error(error, ExitCode.UNREACHABLE)
 
 
-def _explain(error: BaobabgapError, exit_code: ExitCode) -> ExitCode:
+def _print_error(error: BaobabgapError, exit_code: ExitCode) -> ExitCode:
     print(f'baobabgap: {error}', file=sys.stderr)
     return exit_code
--- a/baobabgap/tool/__main__.py
+++ b/baobabgap/tool/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the tool by `python -m baobabgap.tool`."""
+"""Runs the tool as `python -m baobabgap.tool`."""
 
 import sys
 
--- a/baobabgap/tool/_batch.py
+++ b/baobabgap/tool/_batch.py
@@ -1,4 +1,4 @@
-"""Submitting many jobs at once, with progress for people."""
+"""Submits many jobs concurrently and shows progress."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -12,13 +12,13 @@
 
 from baobabgap.tool._client import EntryClient
 from baobabgap.tool._exit import ExitCode
-from baobabgap.tool._submitting import JobReport
-from baobabgap.tool._submitting import JobState
-from baobabgap.tool._submitting import Submitting
+from baobabgap.tool._submitter import JobReport
+from baobabgap.tool._submitter import JobState
+from baobabgap.tool._submitter import JobSubmitter
 
-_PROGRESS_PAUSE_S: Final = 1.0
-# What a script most needs to hear of comes first.
-_GRAVEST_FIRST: Final = (
+_PROGRESS_INTERVAL_S: Final = 1.0
+# Most important for scripts first: the first that occurred is returned.
+_EXIT_CODES_BY_SEVERITY: Final = (
     ExitCode.FAILED,
     ExitCode.UNREACHABLE,
     ExitCode.PENDING,
@@ -27,7 +27,7 @@
 
 
 class Batch:
-    """Jobs that are submitted together by a few tasks."""
+    """Jobs that a pool of worker threads submits."""
 
     def __init__(
         self,
@@ -37,37 +37,39 @@
     ) -> None:
         self._entries = entries
         self._on_report = on_report
-        self._waiting = iter(jobs)
-        self._total = len(jobs)
+        self._remaining_jobs = iter(jobs)
+        self._job_count = len(jobs)
         self._lock = threading.Lock()
         self._count_by_state: Counter[JobState] = Counter()
         self._exit_codes: set[ExitCode] = set()
 
     def run(self, concurrency: int) -> ExitCode:
-        """Submit all jobs; return the gravest exit code among them."""
-        tasks = min(concurrency, self._total)
+        """Submit all jobs; return the most severe exit code of any."""
+        worker_count = min(concurrency, self._job_count)
         ended = threading.Event()
-        with ThreadPoolExecutor(tasks + 1) as pool:
+        with ThreadPoolExecutor(worker_count + 1) as pool:
             progress = pool.submit(self._show_progress, ended)
-            numbers = itertools.islice(itertools.count(), tasks)
-            futures = [pool.submit(self._work, n) for n in numbers]
+            worker_numbers = itertools.islice(itertools.count(), worker_count)
+            futures = [
+                pool.submit(self._run_worker, n) for n in worker_numbers
+            ]
             try:
                 for future in futures:
                     future.result()
             finally:
                 ended.set()
             progress.result()
-        for code in _GRAVEST_FIRST:
+        for code in _EXIT_CODES_BY_SEVERITY:
             if code in self._exit_codes:
                 return code
         return ExitCode.DONE
 
-    def _work(self, number: int) -> None:
-        """Submit jobs, one after the other, until none is left."""
-        client = EntryClient.from_text(self._entries, first=number)
+    def _run_worker(self, number: int) -> None:
+        """Submit jobs one after the other until none remain."""
+        client = EntryClient.from_text(self._entries, first_entry=number)
         try:
-            while (job := self._take()) is not None:
-                report = Submitting(client, job).run()
+            while (job := self._next_job()) is not None:
+                report = JobSubmitter(client, job).run()
                 with self._lock:
                     self._count_by_state[report.state] += 1
                     self._exit_codes.add(report.exit_code)
@@ -75,14 +77,14 @@
         finally:
             client.close()
 
-    def _take(self) -> dict[str, Any] | None:
+    def _next_job(self) -> dict[str, Any] | None:
         with self._lock:
-            return next(self._waiting, None)
+            return next(self._remaining_jobs, None)
 
     def _show_progress(self, ended: threading.Event) -> None:
-        if self._total == 1:
+        if self._job_count == 1:
             return
-        while not ended.wait(_PROGRESS_PAUSE_S):
+        while not ended.wait(_PROGRESS_INTERVAL_S):
             self._print_progress()
         self._print_progress()
 
@@ -90,6 +92,10 @@
         with self._lock:
             counts = dict(self._count_by_state)
         done = sum(counts.values())
-        parts = [f'{count} {state}' for state, count in sorted(counts.items())]
-        text = ', '.join([f'{done} of {self._total} jobs ended', *parts])
+        state_counts = [
+            f'{count} {state}' for state, count in sorted(counts.items())
+        ]
+        text = ', '.join(
+            [f'{done} of {self._job_count} jobs ended', *state_counts]
+        )
         print(text, file=sys.stderr, flush=True)
--- a/baobabgap/tool/_client.py
+++ b/baobabgap/tool/_client.py
@@ -1,4 +1,4 @@
-"""The tool's side of the HTTP interface, over several entries."""
+"""An HTTP client with failover between entries."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -12,22 +12,22 @@
 
 
 class EntryClient:
-    """Talks to one entry at a time, and to the next if that one is gone.
+    """Sends requests to one entry and fails over to the next.
 
-    Use it from one thread at a time::
+    It is not thread-safe; use it from one thread at a time::
 
         client = EntryClient.from_text('127.0.0.1:17081,127.0.0.1:17082')
         response = client.request('GET', '/v1/control/members')
     """
 
-    def __init__(self, addresses: Sequence[str], first: int = 0) -> None:
+    def __init__(self, addresses: Sequence[str], first_entry: int = 0) -> None:
         self._addresses = tuple(addresses)
-        self._current = first % len(self._addresses)
+        self._current_index = first_entry % len(self._addresses)
         self._client_by_address: dict[str, WebClient] = {}
 
     @classmethod
-    def from_text(cls, text: str, first: int = 0) -> 'EntryClient':
-        """Parse `host:port,host:port`; raise `InvalidInput` if wrong."""
+    def from_text(cls, text: str, first_entry: int = 0) -> 'EntryClient':
+        """Parse `host:port,host:port`; raise `InvalidInput` if malformed."""
         addresses = [part.strip() for part in text.split(',') if part.strip()]
         if not addresses:
             raise InvalidInput('needs one host:port at least', step='entries')
@@ -39,16 +39,16 @@
                     '127.0.0.1:17081',
                     step='entries',
                 )
-        return cls(addresses, first)
+        return cls(addresses, first_entry)
 
     @property
     def address(self) -> str:
-        """The entry that the next request goes to."""
-        return self._addresses[self._current]
+        """The address of the entry that gets the next request."""
+        return self._addresses[self._current_index]
 
     @property
     def entry_count(self) -> int:
-        """How many entries there are to try."""
+        """The number of entries to try."""
         return len(self._addresses)
 
     def close(self) -> None:
@@ -59,14 +59,14 @@
 
     def use_next_entry(self) -> None:
         """Send the next request to the next entry."""
-        self._current = (self._current + 1) % len(self._addresses)
+        self._current_index = (self._current_index + 1) % len(self._addresses)
 
     def send(
         self, method: str, path: str, document: Any, *, timeout_s: float
     ) -> WebResponse:
-        """Send one request to the current entry alone.
+        """Send one request to the current entry only.
 
-        Raises `ConnectionLost` if there is no whole response.
+        Raises `ConnectionLost` if no complete response arrives.
         """
         client = self._client_by_address.get(self.address)
         if client is None:
@@ -82,7 +82,7 @@
         *,
         timeout_s: float = 15.0,
     ) -> WebResponse:
-        """Send a request that may be repeated, to each entry in turn.
+        """Send an idempotent request to each entry until one answers.
 
         Raises `ToolError` if no entry answers.
         """
@@ -101,10 +101,10 @@
 
 
 def document_of(response: WebResponse) -> dict[str, Any]:
-    """Return the JSON map of a response.
+    """Return the JSON object of a response.
 
-    Raises `ConnectionLost` if it has none, as when something other than
-    an entry, such as a proxy on the way, has answered.
+    Raises `ConnectionLost` if there is none, for example because an
+    intermediate proxy answered instead of an entry.
     """
     try:
         document = response.document()
--- a/baobabgap/tool/_commands.py
+++ b/baobabgap/tool/_commands.py
@@ -1,10 +1,11 @@
-"""The commands of the tool, as fire shows them.
-
-fire calls a command before it has looked at all arguments, so that a
-mistyped option would be noticed only after a host was drained. Therefore
-a command just notes what to do, and `main` does it once fire is content.
-All arguments stay text until a command reads them, because fire would
-turn a job's identifier or a file's name into a number where it can.
+"""The commands of the tool, exposed through fire.
+
+fire calls a command before it has checked all arguments, so a mistyped
+option would be reported only after a host was drained. A command
+therefore only stores its action, and `main` runs it once fire has
+accepted the command line. All arguments stay strings until a command
+parses them, because fire converts job identifiers and file names that
+look like numbers.
 """
 
 from collections.abc import Callable
@@ -36,30 +37,32 @@
 Command = TypeVar('Command', bound=Callable[..., None])
 
 
-def _as_text(command: Command) -> Command:
-    """Tell fire to hand over the command's arguments as text."""
+def _with_string_arguments(command: Command) -> Command:
+    """Make fire pass the arguments of a command as strings."""
     decorated: Command = SetParseFn(str)(command)
     return decorated
 
 
-class Plan:
-    """What the command line asks for."""
+class DeferredAction:
+    """The action selected by the command line, run after parsing."""
 
     def __init__(self) -> None:
         self.action: Action | None = None
 
-    def note(self, function: Callable[..., ExitCode], *arguments: Any) -> None:
-        """Keep what is to be done."""
+    def store(
+        self, function: Callable[..., ExitCode], *arguments: Any
+    ) -> None:
+        """Store the function and arguments to call."""
         self.action = partial(function, *arguments)
 
 
 class TicketCommands:
     """Change tickets: put one, show what is in force, list all."""
 
-    def __init__(self, plan: Plan) -> None:
-        self._plan = plan
+    def __init__(self, deferred_action: DeferredAction) -> None:
+        self._deferred_action = deferred_action
 
-    @_as_text
+    @_with_string_arguments
     def put(
         self,
         file: str,
@@ -69,23 +72,31 @@
         json: str = 'False',
     ) -> None:
         """Put the ticket in FILE, a YAML map of keys and whole states."""
-        self._plan.note(
-            put_ticket, file, _number('number', number), entries, _flag(json)
+        self._deferred_action.store(
+            put_ticket,
+            file,
+            _parse_number('number', number),
+            entries,
+            _parse_flag(json),
         )
 
-    @_as_text
+    @_with_string_arguments
     def show(
         self, *, entries: str = DEFAULT_ENTRIES, json: str = 'False'
     ) -> None:
         """Show the configuration in force, key by key."""
-        self._plan.note(show_page, 'configuration', entries, _flag(json))
+        self._deferred_action.store(
+            show_page, 'configuration', entries, _parse_flag(json)
+        )
 
-    @_as_text
+    @_with_string_arguments
     def history(
         self, *, entries: str = DEFAULT_ENTRIES, json: str = 'False'
     ) -> None:
         """List the accepted tickets."""
-        self._plan.note(show_page, 'tickets', entries, _flag(json))
+        self._deferred_action.store(
+            show_page, 'tickets', entries, _parse_flag(json)
+        )
 
 
 class Commands:
@@ -98,11 +109,11 @@
     input, 3 no entry answered, 4 refused, 5 not ended yet.
     """
 
-    def __init__(self, plan: Plan) -> None:
-        self._plan = plan
-        self.ticket = TicketCommands(plan)
+    def __init__(self, deferred_action: DeferredAction) -> None:
+        self._deferred_action = deferred_action
+        self.ticket = TicketCommands(deferred_action)
 
-    @_as_text
+    @_with_string_arguments
     def submit(
         self,
         file: str,
@@ -112,10 +123,12 @@
         json: str = 'False',
     ) -> None:
         """Submit the jobs in FILE (JSON lines, YAML or JSON)."""
-        most = _number('concurrency', concurrency)
-        self._plan.note(submit, file, entries, most, _flag(json))
+        max_concurrency = _parse_number('concurrency', concurrency)
+        self._deferred_action.store(
+            submit, file, entries, max_concurrency, _parse_flag(json)
+        )
 
-    @_as_text
+    @_with_string_arguments
     def status(
         self,
         job: str,
@@ -125,10 +138,12 @@
         json: str = 'False',
     ) -> None:
         """Show how JOB ended, or that it hasn't after WAIT_MS."""
-        wait = _number('wait_ms', wait_ms)
-        self._plan.note(show_status, job, wait, entries, _flag(json))
+        wait = _parse_number('wait_ms', wait_ms)
+        self._deferred_action.store(
+            show_status, job, wait, entries, _parse_flag(json)
+        )
 
-    @_as_text
+    @_with_string_arguments
     def cancel(
         self,
         job: str,
@@ -137,53 +152,59 @@
         json: str = 'False',
     ) -> None:
         """Cancel JOB and show how it ended."""
-        self._plan.note(cancel, job, entries, _flag(json))
+        self._deferred_action.store(cancel, job, entries, _parse_flag(json))
 
-    @_as_text
+    @_with_string_arguments
     def members(
         self, *, entries: str = DEFAULT_ENTRIES, json: str = 'False'
     ) -> None:
         """List the processes of the system."""
-        self._plan.note(show_page, 'members', entries, _flag(json))
+        self._deferred_action.store(
+            show_page, 'members', entries, _parse_flag(json)
+        )
 
-    @_as_text
+    @_with_string_arguments
     def control(
         self, *, entries: str = DEFAULT_ENTRIES, json: str = 'False'
     ) -> None:
         """Show the state of the control group."""
-        self._plan.note(show_page, 'status', entries, _flag(json))
+        self._deferred_action.store(
+            show_page, 'status', entries, _parse_flag(json)
+        )
 
-    @_as_text
+    @_with_string_arguments
     def drain(self, entry: str) -> None:
         """Drain the entry at ENTRY (host:port) for a planned stop."""
-        self._plan.note(drain, entry)
+        self._deferred_action.store(drain, entry)
 
-    @_as_text
+    @_with_string_arguments
     def metrics(self, entry: str = DEFAULT_ENTRIES) -> None:
         """Print the metrics of the entry at ENTRY (host:port)."""
-        self._plan.note(show_metrics, entry)
+        self._deferred_action.store(show_metrics, entry)
 
-    @_as_text
+    @_with_string_arguments
     def timeline(self, *job_and_files: str, json: str = 'False') -> None:
         """Show the time line of a job from log files: JOB FILE...
 
         Without a job, show the slowest jobs and those without an answer.
         """
-        self._plan.note(show_timeline, job_and_files, _flag(json))
+        self._deferred_action.store(
+            show_timeline, job_and_files, _parse_flag(json)
+        )
 
-    @_as_text
+    @_with_string_arguments
     def check_config(self, *files: str) -> None:
         """Check settings files without starting anything."""
-        self._plan.note(check_config, files)
+        self._deferred_action.store(check_config, files)
 
 
-def _flag(text: str) -> bool:
+def _parse_flag(text: str) -> bool:
     if text not in ('True', 'False'):
         raise InvalidInput(f'takes no value (got {text!r})', step='--json')
     return text == 'True'
 
 
-def _number(name: str, text: str) -> int:
+def _parse_number(name: str, text: str) -> int:
     if not (text.isascii() and text.isdigit() and len(text) < 16):
         raise InvalidInput(
             f'must be a whole number (got {text!r})', step=f'--{name}'
--- a/baobabgap/tool/_exit.py
+++ b/baobabgap/tool/_exit.py
@@ -6,24 +6,24 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended; docs/OPERATIONS.md explains each."""
+    """The result of a command; docs/OPERATIONS.md explains each code."""
 
-    # All jobs whole, or the command carried out.
+    # All jobs are whole, or the command succeeded.
     DONE = 0
     # A job failed after it may have started.
     FAILED = 1
-    # Wrong usage, or an input file that breaks the rules.
+    # Wrong usage, or an invalid input file.
     USAGE = 2
-    # No entry answered; whether something ran isn't known.
+    # No entry answered; it is unknown whether anything ran.
     UNREACHABLE = 3
-    # Refused, and so not run; or a ticket that was not accepted.
+    # The job was refused and not run, or the ticket was not accepted.
     REFUSED = 4
     # The job has not ended yet.
     PENDING = 5
 
 
 class ToolError(BaobabgapError):
-    """An error that ends the tool with an exit code."""
+    """An error that makes the tool exit with the given code."""
 
     def __init__(
         self,
--- a/baobabgap/tool/_job_actions.py
+++ b/baobabgap/tool/_job_actions.py
@@ -1,4 +1,4 @@
-"""What the commands about jobs do."""
+"""Implements the job commands."""
 
 import json
 
@@ -9,48 +9,48 @@
 from baobabgap.tool._client import EntryClient
 from baobabgap.tool._exit import ExitCode
 from baobabgap.tool._jobs_file import read_jobs
-from baobabgap.tool._submitting import JobReport
-from baobabgap.tool._submitting import JobState
+from baobabgap.tool._submitter import JobReport
+from baobabgap.tool._submitter import JobState
 from baobabgap.tool._tables import render_job
 
 
 def submit(
     file: str, entries: str, concurrency: int, as_json: bool
 ) -> ExitCode:
-    """Submit all jobs of a file and print each as it ends."""
+    """Submit all jobs of a file and print each report when it arrives."""
     if concurrency < 1:
         raise InvalidInput('must be 1 or more', step='concurrency')
     EntryClient.from_text(entries)
     jobs = read_jobs(file)
-    batch = Batch(jobs, entries, lambda report: _print(report, as_json))
+    batch = Batch(jobs, entries, lambda report: _print_report(report, as_json))
     return batch.run(concurrency)
 
 
 def show_status(
     job: str, wait_ms: int, entries: str, as_json: bool
 ) -> ExitCode:
-    """Print how a job ended, or that it hasn't."""
+    """Print the result of a job, or that it is still pending."""
     path = f'/v1/jobs/{JobIdentifier.from_text(job)}?wait_ms={wait_ms}'
-    return _ask('GET', path, entries, wait_ms / 1000 + 15.0, as_json)
+    return _request_job('GET', path, entries, wait_ms / 1000 + 15.0, as_json)
 
 
 def cancel(job: str, entries: str, as_json: bool) -> ExitCode:
-    """Cancel a job and print how it ended.
+    """Cancel a job and print its result.
 
-    A job that was cancelled as asked is a success of the command.
+    The command succeeds if the job ends as cancelled.
     """
     path = f'/v1/jobs/{JobIdentifier.from_text(job)}'
-    return _ask('DELETE', path, entries, 15.0, as_json)
+    return _request_job('DELETE', path, entries, 15.0, as_json)
 
 
-def _ask(
+def _request_job(
     method: str, path: str, entries: str, timeout_s: float, as_json: bool
 ) -> ExitCode:
     client = EntryClient.from_text(entries)
     response = client.request(method, path, timeout_s=timeout_s)
     client.close()
     report = JobReport.from_document(document_of(response), 0, 0.0)
-    _print(report, as_json)
+    _print_report(report, as_json)
     if method == 'DELETE' and _is_cancelled(report):
         return ExitCode.DONE
     return report.exit_code
@@ -63,7 +63,7 @@
     )
 
 
-def _print(report: JobReport, as_json: bool) -> None:
+def _print_report(report: JobReport, as_json: bool) -> None:
     if as_json:
         line = dict(report.document)
         if report.attempts > 0:
--- a/baobabgap/tool/_jobs_file.py
+++ b/baobabgap/tool/_jobs_file.py
@@ -1,4 +1,4 @@
-"""Reading files of jobs and of tickets."""
+"""Reads job and ticket files."""
 
 import json
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 def read_document(path: str) -> Any:
-    """Read one YAML or JSON document; raise `InvalidInput` if broken."""
+    """Read one YAML or JSON document; raise `InvalidInput` if malformed."""
     text = _read_text(path)
     try:
         if path.endswith('.json'):
@@ -28,23 +28,23 @@
 
 
 def read_jobs(path: str) -> list[dict[str, Any]]:
-    """Read jobs: JSON lines, or a list in YAML or JSON, or a single one.
+    """Read jobs from JSON lines, or a list or single job in YAML or JSON.
 
-    A job without an identifier gets one; its client is the job's key
-    `client`, which only the tool knows. Raises `InvalidInput` that names
-    the file and the job.
+    A job without an identifier gets a generated one. Its client part is
+    the key `client` of the job, which the tool removes before submission.
+    Raises `InvalidInput`, which names the file and the job.
     """
     if path.endswith(_JSON_LINES_SUFFIXES):
-        found = _read_json_lines(path)
+        documents = _read_json_lines(path)
     else:
         document = read_document(path)
-        found = document if isinstance(document, list) else [document]
-    if not found:
+        documents = document if isinstance(document, list) else [document]
+    if not documents:
         raise InvalidInput(f'{path}: there are no jobs', step='read')
     jobs = []
-    for number, job in enumerate(found, start=1):
+    for number, job in enumerate(documents, start=1):
         try:
-            jobs.append(_complete(job))
+            jobs.append(_prepare_job(job))
         except InvalidInput as error:
             raise InvalidInput(
                 f'{path}: job {number}: {error.message}', step='read'
@@ -60,22 +60,22 @@
 
 
 def _read_json_lines(path: str) -> list[Any]:
-    found = []
+    documents = []
     lines = _read_text(path).splitlines()
     for number, line in enumerate(lines, start=1):
         if not line.strip():
             continue
         try:
-            found.append(json.loads(line))
+            documents.append(json.loads(line))
         except (ValueError, RecursionError) as error:
             raise InvalidInput(
                 f'{path}: line {number}: {error}', step='read'
             ) from error
-    return found
+    return documents
 
 
-def _complete(job: Any) -> dict[str, Any]:
-    """Check a job and give it an identifier if it has none."""
+def _prepare_job(job: Any) -> dict[str, Any]:
+    """Validate a job and generate an identifier if it has none."""
     if not isinstance(job, dict):
         raise InvalidInput('must be a map', step='read')
     document = dict(job)
--- a/baobabgap/tool/_operator_actions.py
+++ b/baobabgap/tool/_operator_actions.py
@@ -1,4 +1,4 @@
-"""What the commands for operators do."""
+"""Implements the operator commands."""
 
 import json
 import time
@@ -19,17 +19,17 @@
 from baobabgap.web import WebResponse
 
 _TICKET_ATTEMPTS: Final = 10
-_TICKET_PAUSE_S: Final = 1.0
-_DRAIN_WAIT_S: Final = 10.0
-_DRAIN_POLL_S: Final = 0.1
+_TICKET_RETRY_PAUSE_S: Final = 1.0
+_DRAIN_TIMEOUT_S: Final = 10.0
+_DRAIN_POLL_INTERVAL_S: Final = 0.1
 
 
 def put_ticket(
     file: str, number: int, entries: str, as_json: bool
 ) -> ExitCode:
-    """Put a change ticket, again and again until its outcome is known.
+    """Put a change ticket and retry until its outcome is known.
 
-    Resending is safe: a ticket that was accepted gets its first answer.
+    Retries are idempotent: an accepted ticket gets its first answer.
     """
     state = read_document(file)
     if not isinstance(state, dict) or not state:
@@ -45,18 +45,18 @@
             response = client.request('POST', '/v1/tickets', ticket)
             document = document_of(response)
         except (ConnectionLost, ToolError) as error:
-            problem = ToolError(
+            tool_error = ToolError(
                 str(error), ExitCode.UNREACHABLE, step='ticket'
             )
         else:
             if 'status' in document:
                 return _print_outcome(document, number, as_json)
-            problem = _unanswered(response)
+            tool_error = _unexpected_response(response)
             if response.status < 500:
                 break
         client.use_next_entry()
-        time.sleep(_TICKET_PAUSE_S)
-    raise problem
+        time.sleep(_TICKET_RETRY_PAUSE_S)
+    raise tool_error
 
 
 def show_page(topic: str, entries: str, as_json: bool) -> ExitCode:
@@ -65,30 +65,30 @@
         'GET', f'/v1/control/{topic}'
     )
     if response.status != 200:
-        raise _unanswered(response)
+        raise _unexpected_response(response)
     page = response.document()
     print(json.dumps(page) if as_json else render_page(page))
     return ExitCode.DONE
 
 
 def drain(entry: str) -> ExitCode:
-    """Turn the balancer's check of one entry red and wait until it is."""
+    """Drain one entry and wait until its health check fails."""
     client = EntryClient.from_text(entry)
     if client.entry_count != 1:
         raise InvalidInput('drains one host:port at a time', step='drain')
     response = client.request('POST', '/v1/drain')
     if response.status != 202:
-        raise _unanswered(response)
-    end_s = time.monotonic() + _DRAIN_WAIT_S
+        raise _unexpected_response(response)
+    deadline_s = time.monotonic() + _DRAIN_TIMEOUT_S
     while _is_accepting(client):
-        if time.monotonic() >= end_s:
+        if time.monotonic() >= deadline_s:
             raise ToolError(
                 'the balancer check is still green',
                 ExitCode.FAILED,
                 step='drain',
                 peer=entry,
             )
-        time.sleep(_DRAIN_POLL_S)
+        time.sleep(_DRAIN_POLL_INTERVAL_S)
     print(f'{entry} is draining: its check is red, running jobs go on')
     return ExitCode.DONE
 
@@ -101,7 +101,7 @@
 
 
 def check_config(files: tuple[str, ...]) -> ExitCode:
-    """Check settings files and say what each process would be."""
+    """Validate settings files and print the process each describes."""
     if not files:
         raise InvalidInput('needs one file at least', step='settings')
     for file in files:
@@ -122,11 +122,11 @@
         print(json.dumps(outcome))
     else:
         print(f'ticket {number}')
-        print(render_page(_without_nothing(outcome)))
+        print(render_page(_without_nulls(outcome)))
     return ExitCode.DONE if accepted else ExitCode.REFUSED
 
 
-def _without_nothing(document: dict[str, Any]) -> dict[str, Any]:
+def _without_nulls(document: dict[str, Any]) -> dict[str, Any]:
     return {key: value for key, value in document.items() if value is not None}
 
 
@@ -138,8 +138,8 @@
     return response.status == 200
 
 
-def _unanswered(response: WebResponse) -> ToolError:
-    """Build the error for a response that is not what was asked for."""
+def _unexpected_response(response: WebResponse) -> ToolError:
+    """Build the error for a response without the expected result."""
     document = document_of(response)
     error = document.get('error', {})
     refused = document.get('state') == 'refused' and response.status < 500
--- a/baobabgap/tool/_submitting.py
+++ b/baobabgap/tool/_submitter.py
@@ -1,8 +1,8 @@
-"""Submitting one job until its end is known or its time is over.
+"""Submits one job until its result is known or its deadline passes.
 
 A job is resubmitted with the same identifier, also through another
-entry. That is safe: the system starts its tasks at most once, and a
-resubmission joins the running job or gets the kept answer.
+entry. Resubmission is idempotent: the system starts its tasks at most
+once, and a resubmission joins the running job or gets the stored answer.
 """
 
 from dataclasses import dataclass
@@ -18,23 +18,23 @@
 from baobabgap.web import RequestNeverSent
 from baobabgap.web import WebResponse
 
-_MOST_ATTEMPTS: Final = 30
-_PAUSE_AFTER_LOSS_S: Final = 0.2
-# What an entry may take beyond the deadline to answer, and the way back.
+_MAX_ATTEMPTS: Final = 30
+_RETRY_PAUSE_S: Final = 0.2
+# Time that an entry may take after the deadline to answer, plus transit.
 _ANSWER_GRACE_S: Final = 3.0
 _POLL_WAIT_MS: Final = 2000
 
 
 class JobState(StrEnum):
-    """What the client knows of a job in the end."""
+    """The last known state of a job."""
 
     WHOLE = 'whole'
     REFUSED = 'refused'
     FAILED = 'failed'
     PENDING = 'pending'
-    # A request was lost on the way, and no entry could tell its end.
+    # A request was lost, and no entry could report the result.
     UNKNOWN = 'unknown'
-    # No request got through to any entry, so nothing ran.
+    # No request reached any entry, so nothing ran.
     UNREACHABLE = 'unreachable'
 
 
@@ -47,29 +47,30 @@
     JobState.UNREACHABLE: ExitCode.UNREACHABLE,
 }
 
-_ENDED: Final = (JobState.WHOLE, JobState.FAILED)
+_FINAL_STATES: Final = (JobState.WHOLE, JobState.FAILED)
 
 
 @dataclass(frozen=True, slots=True)
 class JobReport:
-    """How one job went, as its client saw it."""
+    """The result of one job as its client observed it."""
 
     # The job's identifier.
     identifier: str
-    # What is known of its end.
+    # The last known state.
     state: JobState
-    # The last document from an entry, or one that tells what was lost.
+    # The last document from an entry, or one that describes the lost
+    # request.
     document: dict[str, Any]
-    # How many times it was sent.
+    # The number of times it was sent.
     attempts: int
-    # Milliseconds from the first sending to the end.
+    # Milliseconds from the first request to the result.
     took_ms: float
 
     @classmethod
     def from_document(
         cls, document: dict[str, Any], attempts: int, took_ms: float
     ) -> 'JobReport':
-        """Read an entry's document; an odd state counts as unknown."""
+        """Parse an entry's document; an invalid state becomes `unknown`."""
         try:
             state = JobState(document.get('state', ''))
         except ValueError:
@@ -79,12 +80,12 @@
 
     @property
     def exit_code(self) -> ExitCode:
-        """The exit code that this job alone would give."""
+        """The exit code for this job alone."""
         return EXIT_CODE_BY_STATE[self.state]
 
 
-class Submitting:
-    """One job on its way through the entries."""
+class JobSubmitter:
+    """Submits one job, with retries and failover between entries."""
 
     def __init__(self, client: EntryClient, document: dict[str, Any]) -> None:
         self._client = client
@@ -95,63 +96,69 @@
             self._started_s + int(document['deadline_ms']) / 1000
         )
         self._attempts = 0
-        self._draining = 0
-        # Set once a request was lost that an entry may have taken.
+        self._draining_answers = 0
+        # Set once a lost request may have reached an entry.
         self._may_run = False
-        self._last: dict[str, Any] = {}
+        self._last_document: dict[str, Any] = {}
 
     def run(self) -> JobReport:
-        """Submit until the end is known; never raises for a lost entry."""
-        while self._attempts < _MOST_ATTEMPTS and self._left_s() > 0:
+        """Submit until the result is known; lost entries raise no error."""
+        while self._attempts < _MAX_ATTEMPTS and self._remaining_s() > 0:
             self._attempts += 1
             report = self._attempt()
             if report is None:
                 continue
             if report.state is JobState.REFUSED and self._may_run:
-                # This request ran nothing; the lost one may have.
-                return self._look_up()
+                # This request ran nothing, but the lost one may have.
+                return self._look_up_result()
             return report
         if self._may_run:
-            return self._look_up()
-        return self._report(self._last)
+            return self._look_up_result()
+        return self._report(self._last_document)
 
     def _attempt(self) -> JobReport | None:
-        """Send the job once; return None if it is worth sending again."""
-        job = {**self._job, 'deadline_ms': max(1, int(self._left_s() * 1000))}
-        timeout_s = self._left_s() + _ANSWER_GRACE_S
+        """Send the job once; return None if it should be sent again."""
+        job = {
+            **self._job,
+            'deadline_ms': max(1, int(self._remaining_s() * 1000)),
+        }
+        timeout_s = self._remaining_s() + _ANSWER_GRACE_S
         try:
             response = self._client.send(
                 'POST', '/v1/jobs', job, timeout_s=timeout_s
             )
             document = document_of(response)
         except ConnectionLost as error:
-            self._note_loss(error)
+            self._record_lost_request(error)
             self._client.use_next_entry()
-            self._pause(_PAUSE_AFTER_LOSS_S)
+            self._pause(_RETRY_PAUSE_S)
             return None
-        self._last = document
+        self._last_document = document
         report = self._report(document)
         if report.state is JobState.PENDING:
-            return self._look_up()
-        if report.state is not JobState.WHOLE and self._can_wait(response):
-            # Only a refusal is sure that nothing runs.
+            return self._look_up_result()
+        if (
+            report.state is not JobState.WHOLE
+            and self._can_retry_before_deadline(response)
+        ):
+            # Only a refusal guarantees that nothing runs.
             self._may_run |= report.state is not JobState.REFUSED
             self._client.use_next_entry()
-            self._pause(self._pause_after(response, document))
+            self._pause(self._retry_pause_s(response, document))
             return None
         return report
 
-    def _look_up(self) -> JobReport:
-        """Ask each entry for the job's end, until the time is over."""
-        end_s = self._deadline_s + _ANSWER_GRACE_S
-        for _ in range(_MOST_ATTEMPTS):
+    def _look_up_result(self) -> JobReport:
+        """Ask the entries for the result until the deadline has passed."""
+        give_up_s = self._deadline_s + _ANSWER_GRACE_S
+        for _ in range(_MAX_ATTEMPTS):
             report = self._fetch()
-            if report is not None and report.state in _ENDED:
+            if report is not None and report.state in _FINAL_STATES:
                 return report
             self._client.use_next_entry()
-            if time.monotonic() >= end_s:
+            if time.monotonic() >= give_up_s:
                 break
-            self._pause(_PAUSE_AFTER_LOSS_S)
+            self._pause(_RETRY_PAUSE_S)
         return self._report(
             {
                 'identifier': self._identifier,
@@ -160,7 +167,7 @@
                     'code': 'unreachable',
                     'ran': 'unknown',
                     'message': 'no entry could tell how the job ended',
-                    'last': self._last,
+                    'last': self._last_document,
                 },
             }
         )
@@ -176,11 +183,11 @@
         except ConnectionLost:
             return None
 
-    def _note_loss(self, error: ConnectionLost) -> None:
+    def _record_lost_request(self, error: ConnectionLost) -> None:
         if not isinstance(error, RequestNeverSent):
             self._may_run = True
         state = JobState.UNKNOWN if self._may_run else JobState.UNREACHABLE
-        self._last = {
+        self._last_document = {
             'identifier': self._identifier,
             'state': state.value,
             'error': {
@@ -191,36 +198,39 @@
             },
         }
 
-    def _can_wait(self, response: WebResponse) -> bool:
-        """Tell whether the time to come back is before the deadline."""
+    def _can_retry_before_deadline(self, response: WebResponse) -> bool:
+        """Return whether the Retry-After time ends before the deadline."""
         pause_s = _retry_after_s(response)
-        return 0 < pause_s < self._left_s()
+        return 0 < pause_s < self._remaining_s()
 
-    def _pause_after(
+    def _retry_pause_s(
         self, response: WebResponse, document: dict[str, Any]
     ) -> float:
-        """Return how long to wait before the next entry is asked.
+        """Return the seconds to wait before trying the next entry.
 
-        Draining concerns that entry alone, so the others may be asked at
-        once; after a round of draining entries the pause is due.
+        Draining affects one entry only, so the others can be tried at
+        once; after a full round of draining answers the Retry-After time
+        applies.
         """
         if document.get('error', {}).get('code') != 'draining':
             return _retry_after_s(response)
-        self._draining += 1
-        if self._draining % self._client.entry_count:
+        self._draining_answers += 1
+        if self._draining_answers % self._client.entry_count:
             return 0.0
         return _retry_after_s(response)
 
-    def _left_s(self) -> float:
+    def _remaining_s(self) -> float:
         return self._deadline_s - time.monotonic()
 
     def _pause(self, seconds: float) -> None:
-        time.sleep(max(0.0, min(seconds, self._left_s())))
+        time.sleep(max(0.0, min(seconds, self._remaining_s())))
 
     def _report(self, document: dict[str, Any]) -> JobReport:
         took_ms = (time.monotonic() - self._started_s) * 1000
-        whole = {**document, 'identifier': self._identifier}
-        return JobReport.from_document(whole, self._attempts, took_ms)
+        identified_document = {**document, 'identifier': self._identifier}
+        return JobReport.from_document(
+            identified_document, self._attempts, took_ms
+        )
 
 
 def _retry_after_s(response: WebResponse) -> float:
--- a/baobabgap/tool/_tables.py
+++ b/baobabgap/tool/_tables.py
@@ -1,25 +1,28 @@
-"""Text for people: tables, jobs and pages."""
+"""Renders tables, jobs and control pages as text."""
 
 from collections.abc import Sequence
 import json
 from typing import Any
 from typing import Final
 
-from baobabgap.tool._submitting import JobReport
+from baobabgap.tool._submitter import JobReport
 
-_LONGEST_CELL: Final = 100
-_MOST_TASKS_SHOWN: Final = 8
+_MAX_CELL_WIDTH: Final = 100
+_MAX_TASKS_SHOWN: Final = 8
 
 
 def render_table(
     headers: Sequence[str],
     rows: Sequence[Sequence[Any]],
-    longest_cell: int = _LONGEST_CELL,
+    max_cell_width: int = _MAX_CELL_WIDTH,
 ) -> str:
-    """Align columns under their headers; longer cells are cut."""
+    """Align columns under their headers; truncate longer cells."""
     lines = [
         list(headers),
-        *([_cell(value, longest_cell) for value in row] for row in rows),
+        *(
+            [_format_cell(value, max_cell_width) for value in row]
+            for row in rows
+        ),
     ]
     widths = [
         max(len(line[column]) for line in lines)
@@ -34,28 +37,28 @@
 
 
 def render_job(report: JobReport) -> str:
-    """Show one job: its end, and each value or the failure."""
-    head = f'{report.identifier}  {report.state}'
+    """Render one job: its state, and its values or failure."""
+    heading = f'{report.identifier}  {report.state}'
     if report.attempts > 0:
-        head += f'  {report.took_ms:.0f} ms'
+        heading += f'  {report.took_ms:.0f} ms'
     if report.attempts > 1:
-        head += f', sent {report.attempts} times'
-    lines = [head]
+        heading += f', sent {report.attempts} times'
+    lines = [heading]
     results = report.document.get('results', [])
     lines.extend(
         f'  {result["task"]}  {json.dumps(result["value"])}'
-        for result in results[:_MOST_TASKS_SHOWN]
+        for result in results[:_MAX_TASKS_SHOWN]
     )
-    if len(results) > _MOST_TASKS_SHOWN:
-        more = len(results) - _MOST_TASKS_SHOWN
-        lines.append(f'  and {more} more (--json shows all)')
+    if len(results) > _MAX_TASKS_SHOWN:
+        omitted_count = len(results) - _MAX_TASKS_SHOWN
+        lines.append(f'  and {omitted_count} more (--json shows all)')
     if 'error' in report.document:
         lines.append('  ' + render_error(report.document['error']))
     return '\n'.join(lines)
 
 
 def render_error(error: dict[str, Any]) -> str:
-    """Show a failure in one line."""
+    """Render a failure in one line."""
     parts = [f'{error.get("code")}: {error.get("message")}']
     for name in ('step', 'peer', 'ran'):
         if error.get(name):
@@ -66,21 +69,21 @@
 
 
 def render_page(page: Any) -> str:
-    """Show any JSON page: lists of maps as tables, the rest as lines."""
+    """Render a JSON page: lists of objects as tables, the rest as lines."""
     if isinstance(page, list):
         return _render_list(page)
     if not isinstance(page, dict):
-        return _cell(page)
+        return _format_cell(page)
     lines = []
     for key, value in page.items():
         if isinstance(value, list) and value and isinstance(value[0], dict):
             lines.append(f'{key}:')
             lines.append(_render_list(value))
         elif isinstance(value, dict) and value:
-            inner = render_page(value).splitlines()
-            lines.extend([f'{key}:', *(f'  {line}' for line in inner)])
+            nested_lines = render_page(value).splitlines()
+            lines.extend([f'{key}:', *(f'  {line}' for line in nested_lines)])
         else:
-            lines.append(f'{key}: {_cell(value)}')
+            lines.append(f'{key}: {_format_cell(value)}')
     return '\n'.join(lines)
 
 
@@ -88,16 +91,16 @@
     if not items:
         return '(none)'
     if not all(isinstance(item, dict) for item in items):
-        return '\n'.join(_cell(item) for item in items)
+        return '\n'.join(_format_cell(item) for item in items)
     headers = list(dict.fromkeys(key for item in items for key in item))
     rows = [[item.get(header, '') for header in headers] for item in items]
     return render_table(headers, rows)
 
 
-def _cell(value: Any, longest: int = _LONGEST_CELL) -> str:
+def _format_cell(value: Any, max_width: int = _MAX_CELL_WIDTH) -> str:
     if value is None:
         return '-'
     text = value if isinstance(value, str) else json.dumps(value)
-    if len(text) > longest:
-        return text[: longest - 3] + '...'
+    if len(text) > max_width:
+        return text[: max_width - 3] + '...'
     return text
--- a/baobabgap/tool/_timeline_action.py
+++ b/baobabgap/tool/_timeline_action.py
@@ -1,4 +1,4 @@
-"""What the time line command does."""
+"""Implements the timeline command."""
 
 from collections.abc import Sequence
 import json
@@ -16,19 +16,20 @@
 from baobabgap.tool._exit import ToolError
 from baobabgap.tool._tables import render_table
 
-_MOST_SUMMARIES: Final = 10
-_LONGEST_FIELDS: Final = 400
-# A pending submission was answered too: its client comes back for it.
-_ANSWERED: Final = ('whole', 'pending')
+_MAX_SUMMARIES: Final = 10
+_MAX_FIELDS_WIDTH: Final = 400
+# A pending submission counts as answered: its client fetches the result
+# later.
+_ANSWERED_STATES: Final = ('whole', 'pending')
 
 
 def show_timeline(arguments: Sequence[str], as_json: bool) -> ExitCode:
-    """Print one job's time line, or the slowest and the failed jobs.
+    """Print the timeline of a job, or the slowest and the failed jobs.
 
-    The first argument is the job if it reads like an identifier, and a
-    log file if not.
+    The first argument is a job if it parses as an identifier, otherwise a
+    log file.
     """
-    job, files = _split(arguments)
+    job, files = _split_arguments(arguments)
     if not files:
         raise InvalidInput('needs one log file at least', step='timeline')
     try:
@@ -39,8 +40,8 @@
         raise InvalidInput(str(error), step='timeline') from error
 
 
-def _split(arguments: Sequence[str]) -> tuple[str, Sequence[str]]:
-    # A file that is named twice would show each event twice.
+def _split_arguments(arguments: Sequence[str]) -> tuple[str, Sequence[str]]:
+    # A file named twice would show each event twice.
     files = list(dict.fromkeys(arguments))
     if not files:
         return '', files
@@ -69,18 +70,18 @@
             event.record.process,
             event.record.role,
             event.record.event,
-            _fields(event.record.field_by_name),
+            _format_fields(event.record.field_by_name),
         )
         for event in timeline.events
     ]
     print(f'{job}: {len(rows)} events')
     headers = ('ms', 'process', 'role', 'event', 'fields')
-    print(render_table(headers, rows, _LONGEST_FIELDS))
-    print(_clock_note(timeline))
+    print(render_table(headers, rows, _MAX_FIELDS_WIDTH))
+    print(_describe_clock_shifts(timeline))
     return ExitCode.DONE
 
 
-def _clock_note(timeline: Timeline) -> str:
+def _describe_clock_shifts(timeline: Timeline) -> str:
     shifts = timeline.shift_ms_by_process
     if not shifts:
         return (
@@ -105,7 +106,7 @@
     }
 
 
-def _fields(field_by_name: dict[str, Any]) -> str:
+def _format_fields(field_by_name: dict[str, Any]) -> str:
     return ' '.join(
         f'{name}={value if isinstance(value, str) else json.dumps(value)}'
         for name, value in field_by_name.items()
@@ -115,16 +116,18 @@
 def _show_summaries(files: Sequence[str], as_json: bool) -> ExitCode:
     summaries = summarize_jobs(read_records(files))
     failed = [
-        one for one in summaries if one.state not in ('whole', 'pending')
+        summary
+        for summary in summaries
+        if summary.state not in _ANSWERED_STATES
     ]
     if as_json:
-        for one in summaries:
-            print(json.dumps(_summary_document(one)))
+        for summary in summaries:
+            print(json.dumps(_summary_document(summary)))
         return ExitCode.DONE
     print(f'{len(summaries)} submissions ended, {len(failed)} without answer')
-    print(f'The slowest {min(len(summaries), _MOST_SUMMARIES)}:')
+    print(f'The slowest {min(len(summaries), _MAX_SUMMARIES)}:')
     print(_summary_table(summaries))
-    print(f'Without answer, the slowest {min(len(failed), _MOST_SUMMARIES)}:')
+    print(f'Without answer, the slowest {min(len(failed), _MAX_SUMMARIES)}:')
     print(_summary_table(failed))
     return ExitCode.DONE
 
@@ -140,7 +143,12 @@
 
 def _summary_table(summaries: Sequence[JobSummary]) -> str:
     rows = [
-        (f'{one.duration_ms:.1f}', one.job, one.state, one.process)
-        for one in summaries[:_MOST_SUMMARIES]
+        (
+            f'{summary.duration_ms:.1f}',
+            summary.job,
+            summary.state,
+            summary.process,
+        )
+        for summary in summaries[:_MAX_SUMMARIES]
     ]
     return render_table(('ms', 'job', 'state', 'process'), rows)
--- a/baobabgap/tool/tests/test_tool.py
+++ b/baobabgap/tool/tests/test_tool.py
@@ -29,21 +29,23 @@
 from baobabgap.web import WebServer
 
 _LARGEST_BODY_BYTES = 1_000_000
-_GOOD = """
+_VALID_SETTINGS = """
 role: stand-in
 name: upstream-1
 stand_in: {agent_address: '127.0.0.1:17031'}
 """
-_DRAINING = failed_answer(FailureCode.DRAINING, Ran.NO, 60.0)
-_BUSY = failed_answer(FailureCode.OVERLOADED, Ran.NO, 0.01)
-_NEVER = failed_answer(FailureCode.NEVER_FITS, Ran.NO)
-_NO_CONTROL = failed_answer(FailureCode.CONTROL_UNAVAILABLE, Ran.UNKNOWN, 0.01)
-_LOST = failed_answer(FailureCode.TASK_LOST, Ran.UNKNOWN)
-_UNKNOWN = failed_answer(FailureCode.UNKNOWN_JOB, Ran.NO)
+_DRAINING_ANSWER = failed_answer(FailureCode.DRAINING, Ran.NO, 60.0)
+_OVERLOADED_ANSWER = failed_answer(FailureCode.OVERLOADED, Ran.NO, 0.01)
+_NEVER_FITS_ANSWER = failed_answer(FailureCode.NEVER_FITS, Ran.NO)
+_CONTROL_UNAVAILABLE_ANSWER = failed_answer(
+    FailureCode.CONTROL_UNAVAILABLE, Ran.UNKNOWN, 0.01
+)
+_TASK_LOST_ANSWER = failed_answer(FailureCode.TASK_LOST, Ran.UNKNOWN)
+_UNKNOWN_JOB_ANSWER = failed_answer(FailureCode.UNKNOWN_JOB, Ran.NO)
 
 
 class _ScriptedService(FakeService):
-    """Answers submissions by a script, and whole once that has ended."""
+    """Returns the scripted answers, then the configured one."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,7 +54,7 @@
     def submit(
         self, submission: JobSubmission, log_action: str
     ) -> Future[JobAnswer]:
-        """Answer with the next of the script."""
+        """Return the next scripted answer."""
         future = super().submit(submission, log_action)
         if not self.script:
             return future
@@ -116,56 +118,72 @@
 
 
 class TestSubmit(_ToolTest):
-    """Jobs are sent until their end is known, and never under a new name."""
+    """Jobs are resubmitted under one identifier until the result is known."""
 
     def test_exit_codes(self) -> None:
         cases: dict[str, tuple[list[JobAnswer], int, str]] = {
             'whole': ([WHOLE_ANSWER], 0, 'whole'),
-            'busy, then whole': ([_BUSY, WHOLE_ANSWER], 0, 'whole'),
-            'unclaimed, then whole': ([_NO_CONTROL, WHOLE_ANSWER], 0, 'whole'),
-            'refused for good': ([_NEVER], 4, 'refused'),
-            'failed': ([_LOST], 1, 'failed'),
-            'busy, then failed': ([_BUSY, _LOST], 1, 'failed'),
+            'busy, then whole': (
+                [_OVERLOADED_ANSWER, WHOLE_ANSWER],
+                0,
+                'whole',
+            ),
+            'unclaimed, then whole': (
+                [_CONTROL_UNAVAILABLE_ANSWER, WHOLE_ANSWER],
+                0,
+                'whole',
+            ),
+            'refused for good': ([_NEVER_FITS_ANSWER], 4, 'refused'),
+            'failed': ([_TASK_LOST_ANSWER], 1, 'failed'),
+            'busy, then failed': (
+                [_OVERLOADED_ANSWER, _TASK_LOST_ANSWER],
+                1,
+                'failed',
+            ),
         }
         for name, (script, code, state) in cases.items():
             with self.subTest(name):
                 self.service.script = list(script)
-                found, lines = self.submit(self.job)
-                self.assertEqual((code, state), (found, lines[0]['state']))
+                exit_code, lines = self.submit(self.job)
+                self.assertEqual((code, state), (exit_code, lines[0]['state']))
                 self.assertEqual(len(script), lines[0]['attempts'])
 
     def test_resubmits_the_same_identifier(self) -> None:
         for _ in range(2):
-            gone = self._vanish()
-            _, lines = self.submit(self.job, entries=f'{gone},{self.address}')
+            lost_entry = self._serve_lost_connection()
+            _, lines = self.submit(
+                self.job, entries=f'{lost_entry},{self.address}'
+            )
             self.assertEqual(('whole', 2), _state_and_attempts(lines[0]))
-        sent = {one.identifier for one in self.service.submissions}
-        self.assertEqual({JOB_ID}, sent)
+        identifiers = {
+            submission.identifier for submission in self.service.submissions
+        }
+        self.assertEqual({JOB_ID}, identifiers)
 
-    def test_refusal_after_a_lost_request_settles_nothing(self) -> None:
-        entries = f'{self._vanish()},{self.address}'
+    def test_refusal_after_a_lost_request_is_not_final(self) -> None:
+        entries = f'{self._serve_lost_connection()},{self.address}'
         self.job['deadline_ms'] = 600
-        self.service.script = [_NEVER]
-        self.service.answer = _UNKNOWN
+        self.service.script = [_NEVER_FITS_ANSWER]
+        self.service.answer = _UNKNOWN_JOB_ANSWER
         code, lines = self.submit(self.job, entries=entries)
         self.assertEqual((3, 'unknown'), (code, lines[0]['state']))
-        self.service.script = [_NEVER]
+        self.service.script = [_NEVER_FITS_ANSWER]
         self.service.answer = WHOLE_ANSWER
-        entries = f'{self._vanish()},{self.address}'
+        entries = f'{self._serve_lost_connection()},{self.address}'
         code, lines = self.submit(self.job, entries=entries)
         self.assertEqual((0, 'whole'), (code, lines[0]['state']))
 
-    def test_refusal_after_an_unsent_request_counts(self) -> None:
-        self.service.script = [_NEVER]
+    def test_refusal_after_an_unsent_request_is_final(self) -> None:
+        self.service.script = [_NEVER_FITS_ANSWER]
         entries = f'127.0.0.1:{_free_port()},{self.address}'
         code, lines = self.submit(self.job, entries=entries)
         self.assertEqual((4, 'refused'), (code, lines[0]['state']))
 
     def test_draining_entry_is_left_at_once(self) -> None:
-        other = _ScriptedService()
-        other.script = [_DRAINING]
+        draining_service = _ScriptedService()
+        draining_service.script = [_DRAINING_ANSWER]
         self.job['deadline_ms'] = 90_000
-        entries = f'{self.serve(other)},{self.address}'
+        entries = f'{self.serve(draining_service)},{self.address}'
         code, lines = self.submit(self.job, entries=entries)
         self.assertEqual((0, 2), (code, lines[0]['attempts']))
         self.assertLess(lines[0]['took_ms'], 30_000)
@@ -180,15 +198,19 @@
     def test_many_jobs(self) -> None:
         del self.job['identifier']
         jobs = [{**self.job, 'client': 'kurek'} for _ in range(40)]
-        self.service.script = [_LOST, _NEVER]
+        self.service.script = [_TASK_LOST_ANSWER, _NEVER_FITS_ANSWER]
         code, lines = self.submit(jobs, '--concurrency=4')
         self.assertEqual((1, 40), (code, len(lines)))
-        sent = {one.identifier for one in self.service.submissions}
-        self.assertEqual(40, len(sent))
-        clients = {one.client for one in self.service.submissions}
+        identifiers = {
+            submission.identifier for submission in self.service.submissions
+        }
+        self.assertEqual(40, len(identifiers))
+        clients = {
+            submission.client for submission in self.service.submissions
+        }
         self.assertEqual({'kurek'}, clients)
 
-    def test_prints_for_people(self) -> None:
+    def test_prints_text_without_json(self) -> None:
         path = self.write('jobs.jsonl', json.dumps(self.job) + '\n\n')
         code, output, _ = self.run_tool(
             'submit', path, '--entries', self.address
@@ -211,30 +233,30 @@
                 self.assertEqual(2, code)
                 self.assertIn(expected, errors)
 
-    def _vanish(self) -> str:
-        """Serve one connection that is closed once a request is in."""
+    def _serve_lost_connection(self) -> str:
+        """Accept one connection and close it once data has arrived."""
         listener = socket.create_server(('127.0.0.1', 0))
         self.addCleanup(listener.close)
 
-        def close_first() -> None:
+        def close_after_request() -> None:
             connection, _ = listener.accept()
             connection.recv(65536)
             connection.close()
             listener.close()
 
-        threading.Thread(target=close_first, daemon=True).start()
+        threading.Thread(target=close_after_request, daemon=True).start()
         return f'127.0.0.1:{listener.getsockname()[1]}'
 
 
 class TestCommands(_ToolTest):
-    """Each command does what it says, and nothing when mistyped."""
+    """Each command runs its action, and nothing when mistyped."""
 
     def test_status_and_cancel(self) -> None:
         cancelled = failed_answer(FailureCode.CANCELLED, Ran.UNKNOWN)
         cases: dict[str, tuple[str, JobAnswer | None, int]] = {
             'whole': ('status', WHOLE_ANSWER, 0),
-            'failed': ('status', _LOST, 1),
-            'unknown': ('status', _UNKNOWN, 4),
+            'failed': ('status', _TASK_LOST_ANSWER, 1),
+            'unknown': ('status', _UNKNOWN_JOB_ANSWER, 4),
             'pending': ('status', None, 5),
             'cancelled': ('cancel', cancelled, 0),
             'too late': ('cancel', WHOLE_ANSWER, 0),
@@ -244,10 +266,10 @@
             with self.subTest(name):
                 self.service.answer = answer
                 options = ['--wait_ms=1'] if command == 'status' else []
-                found, output, _ = self.run_tool(
+                exit_code, output, _ = self.run_tool(
                     command, JOB_ID, '--entries', self.address, *options
                 )
-                self.assertEqual(code, found)
+                self.assertEqual(code, exit_code)
                 self.assertIn(JOB_ID, output)
 
     def test_ticket(self) -> None:
@@ -256,14 +278,16 @@
         for status, code in (('accepted', 0), ('lost', 4), ('invalid', 4)):
             with self.subTest(status):
                 self.service.ticket_status = TicketStatus(status)
-                found, output, _ = self._run(
+                exit_code, output, _ = self._run_with_entries(
                     'ticket', 'put', path, '--number=3'
                 )
-                self.assertEqual(code, found)
+                self.assertEqual(code, exit_code)
                 self.assertIn(status, output)
         self.assertEqual((3, state), self.service.tickets[0])
         path = self.write('bad.yaml', 'quota/rowing: {tasks: 5}')
-        code, _, errors = self._run('ticket', 'put', path, '--number=4')
+        code, _, errors = self._run_with_entries(
+            'ticket', 'put', path, '--number=4'
+        )
         self.assertEqual(2, code)
         self.assertIn('quota/rowing.tasks_per_second', errors)
 
@@ -277,7 +301,7 @@
         ]
         for arguments, expected in cases:
             with self.subTest(arguments):
-                code, output, _ = self._run(*arguments)
+                code, output, _ = self._run_with_entries(*arguments)
                 self.assertEqual((0, expected), (code, output.strip()))
 
     def test_metrics_and_drain(self) -> None:
@@ -289,12 +313,14 @@
         self.assertFalse(self.service.accepting)
 
     def test_check_config(self) -> None:
-        good = self.write('good.yaml', _GOOD)
-        bad = self.write('bad.yaml', _GOOD + 'nmae: b\n')
-        code, output, _ = self.run_tool('check-config', good)
+        valid_file = self.write('good.yaml', _VALID_SETTINGS)
+        invalid_file = self.write('bad.yaml', _VALID_SETTINGS + 'nmae: b\n')
+        code, output, _ = self.run_tool('check-config', valid_file)
         self.assertEqual(0, code)
         self.assertIn('stand-in upstream-1', output)
-        code, _, errors = self.run_tool('check-config', good, bad)
+        code, _, errors = self.run_tool(
+            'check-config', valid_file, invalid_file
+        )
         self.assertEqual(2, code)
         self.assertIn('nmae', errors)
 
@@ -343,7 +369,7 @@
             check(output)
         self.assertEqual(2, self.run_tool('timeline', 'kurek.1.b', path)[0])
 
-    def _run(self, *arguments: str) -> tuple[int, str, str]:
+    def _run_with_entries(self, *arguments: str) -> tuple[int, str, str]:
         return self.run_tool(*arguments, '--entries', self.address)
 
 
