--- a/baobabgap/standin/_leases.py
+++ b/baobabgap/standin/_leases.py
@@ -11,23 +11,23 @@
 from typing import Any
 from typing import Final
 
-# Ended leases that nobody has acknowledged, kept for the agent.
-_KEPT_ENDED_LEASES: Final = 20_000
+# Ended leases without acknowledgement that are kept for the agent.
+_MAX_ENDED_LEASES: Final = 20_000
 
 
 class LeaseState(StrEnum):
-    """Where a lease is in its life."""
+    """The state of a lease."""
 
     RUNNING = 'running'
     # Returned a value.
     DONE = 'done'
     # Ran and reported an error.
     FAILED = 'failed'
-    # Was stopped at the agent's request after its start.
+    # Was stopped at the agent's request after it started.
     STOPPED = 'stopped'
-    # Was stopped since nobody renewed it.
+    # Was stopped because it was not renewed in time.
     LAPSED = 'lapsed'
-    # Was stopped before it started, and never will start.
+    # Was stopped before it started, and can never start.
     REVOKED = 'revoked'
 
 
@@ -37,27 +37,27 @@
 
     # The job's and the task's identifiers, with a slash between.
     identifier: str
-    # Whose task it is; opaque to the upstream.
+    # The owner of the task; opaque to the upstream.
     owner: str
     # When the task started, in seconds of the monotonic clock.
     started_at: float
-    # When the task will have run for its time.
+    # When the run time of the task is over, on the same clock.
     ends_at: float
-    # When the lease lapses unless it is renewed.
+    # When the lease lapses unless renewed, on the same clock.
     lapses_at: float
-    # Where the lease is in its life.
+    # The current state.
     state: LeaseState = LeaseState.RUNNING
-    # What the task returned, or why it has not.
+    # The value that the task returned, or the reason why there is none.
     value: Any = None
     # Milliseconds from start to end.
     run_time_ms: float = 0.0
-    # Wakes the thread that runs the task after any change.
+    # Set after any change, to wake the thread that runs the task.
     changed: threading.Event = field(default_factory=threading.Event)
-    # Set at the end, for requests that joined.
+    # Set at the end, to wake requests that joined the lease.
     ended: threading.Event = field(default_factory=threading.Event)
 
     def as_document(self) -> dict[str, Any]:
-        """Return what the upstream tells about the lease."""
+        """Return the lease as a JSON document."""
         return {
             'lease': self.identifier,
             'owner': self.owner,
@@ -68,7 +68,7 @@
 
 
 class LeaseTable:
-    """All leases of one stand-in upstream, and its own count of starts."""
+    """All leases of one stand-in upstream, with its own count of starts."""
 
     def __init__(self, slots: int) -> None:
         self._slots = slots
@@ -77,31 +77,32 @@
         self._running_ids: set[str] = set()
         self._ended_ids: OrderedDict[str, None] = OrderedDict()
         self._starts_by_id: Counter[str] = Counter()
-        self._forgot_some = False
+        self._dropped_unacknowledged = False
         self.repeated_requests = 0
         self.renewals = 0
         self.maximum_running = 0
 
     @property
     def running(self) -> int:
-        """How many tasks run now."""
+        """The number of running tasks."""
         return len(self._running_ids)
 
     def open(
         self, identifier: str, owner: str, lease_s: float, forgetful: bool
     ) -> tuple[Lease | None, bool]:
-        """Start a lease, or find the one that is already there.
+        """Start a lease, or return the existing one.
 
-        Returns the lease and whether it is new; no lease if all slots
-        are taken.
+        Returns the lease and whether it is new, or None if all slots are
+        taken. `lease_s` is the time in seconds until the lease lapses;
+        `forgetful` starts an existing lease again.
         """
         now = time.monotonic()
         with self._lock:
-            known = self._lease_by_id.get(identifier)
-            if known is not None:
+            existing_lease = self._lease_by_id.get(identifier)
+            if existing_lease is not None:
                 self.repeated_requests += 1
                 if not forgetful:
-                    return known, False
+                    return existing_lease, False
             if len(self._running_ids) >= self._slots:
                 return None, False
             lease = Lease(identifier, owner, now, now, now + lease_s)
@@ -112,7 +113,7 @@
             return lease, True
 
     def run(self, lease: Lease, run_time_s: float) -> LeaseState:
-        """Let the task take its time; return how the wait ended."""
+        """Wait for the run time of the task; return the resulting state."""
         lease.ends_at = lease.started_at + run_time_s
         while lease.state is LeaseState.RUNNING:
             now = time.monotonic()
@@ -125,14 +126,14 @@
         return lease.state
 
     def close(self, lease: Lease, state: LeaseState, value: Any) -> None:
-        """Record the end of a lease, unless it has ended already."""
+        """Record the end of a lease unless it has already ended."""
         with self._lock:
             self._close(lease, state, value)
 
     def renew(
         self, identifiers: Iterable[str], lease_s: float
     ) -> dict[str, Any]:
-        """Prolong leases, and tell what became of each."""
+        """Extend running leases and return the state of each."""
         now = time.monotonic()
         running: list[str] = []
         ended: list[dict[str, Any]] = []
@@ -151,7 +152,7 @@
         return {'running': running, 'ended': ended, 'unknown': unknown}
 
     def stop(self, identifiers: Iterable[str]) -> list[dict[str, Any]]:
-        """Stop what runs, and keep what is unknown from ever starting."""
+        """Stop running leases; revoke unknown ones so they never start."""
         leases = []
         with self._lock:
             for identifier in identifiers:
@@ -166,27 +167,27 @@
         return leases
 
     def throttle(self, identifiers: Iterable[str], share: float) -> None:
-        """Let running tasks go on with a share of their speed."""
+        """Slow running tasks down to a share of their speed."""
         now = time.monotonic()
         with self._lock:
             for identifier in identifiers:
                 lease = self._lease_by_id.get(identifier)
                 if lease is not None and lease.state is LeaseState.RUNNING:
-                    left_s = max(0.0, lease.ends_at - now)
-                    lease.ends_at = now + left_s / share
+                    remaining_s = max(0.0, lease.ends_at - now)
+                    lease.ends_at = now + remaining_s / share
                     lease.changed.set()
 
     def checkpoint(self, identifiers: Iterable[str]) -> dict[str, float]:
-        """Return the share of its run that each running task has done."""
+        """Return the completed share of each running task, from 0 to 1."""
         now = time.monotonic()
         progress_by_lease = {}
         with self._lock:
             for identifier in identifiers:
                 lease = self._lease_by_id.get(identifier)
                 if lease is not None and lease.state is LeaseState.RUNNING:
-                    whole_s = max(lease.ends_at - lease.started_at, 1e-9)
+                    total_s = max(lease.ends_at - lease.started_at, 1e-9)
                     done_s = now - lease.started_at
-                    progress_by_lease[identifier] = min(1.0, done_s / whole_s)
+                    progress_by_lease[identifier] = min(1.0, done_s / total_s)
         return progress_by_lease
 
     def acknowledge(self, identifiers: Iterable[str]) -> None:
@@ -198,13 +199,13 @@
                     del self._lease_by_id[identifier]
 
     def listing(self) -> dict[str, Any]:
-        """Return all leases, and whether any was forgotten unasked."""
+        """Return all leases, and whether none was dropped unacknowledged."""
         with self._lock:
             return {
                 'leases': [
                     lease.as_document() for lease in self._lease_by_id.values()
                 ],
-                'complete': not self._forgot_some,
+                'complete': not self._dropped_unacknowledged,
             }
 
     def counts(self) -> dict[str, Any]:
@@ -239,7 +240,7 @@
         self._ended_ids[lease.identifier] = None
         lease.changed.set()
         lease.ended.set()
-        if len(self._ended_ids) > _KEPT_ENDED_LEASES:
+        if len(self._ended_ids) > _MAX_ENDED_LEASES:
             oldest, _ = self._ended_ids.popitem(last=False)
             del self._lease_by_id[oldest]
-            self._forgot_some = True
+            self._dropped_unacknowledged = True
--- a/baobabgap/standin/_requests.py
+++ b/baobabgap/standin/_requests.py
@@ -1,4 +1,4 @@
-"""What an agent may ask of a stand-in upstream, validated."""
+"""Validated requests from an agent to a stand-in upstream."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -23,25 +23,25 @@
     lease: Annotated[str, Field(pattern=r'^[^/]+/[^/]+$')]
     # The agent's incarnation.
     agent_incarnation: str
-    # The upstream's incarnation that the agent means.
+    # The upstream's incarnation that the agent addresses.
     upstream_incarnation: str
-    # Whose task it is; opaque to the upstream.
+    # The owner of the task; opaque to the upstream.
     owner: str
-    # The sort of work.
+    # The kind of task.
     kind: str
     # Seconds until the lease lapses unless it is renewed.
     lease_s: Annotated[float, Field(gt=0, le=600)]
-    # The task's own input.
+    # The input of the task.
     payload: Any = None
 
 
 @dataclass(frozen=True, slots=True)
 class RenewLeases:
-    """Prolongs leases, and forgets those that are acknowledged."""
+    """Extends leases and removes the acknowledged ones."""
 
     # The agent's incarnation.
     agent_incarnation: str
-    # The leases to prolong.
+    # The leases to extend.
     leases: tuple[str, ...]
     # Seconds until they lapse.
     lease_s: Annotated[float, Field(gt=0, le=600)]
@@ -55,9 +55,9 @@
 
     # The agent's incarnation.
     agent_incarnation: str
-    # The leases concerned.
+    # The leases to act on.
     leases: tuple[str, ...]
-    # The share of its speed that a throttled task keeps.
+    # The share of its speed that a throttled task retains.
     share: Annotated[float, Field(gt=0, le=1)] = 1.0
 
 
@@ -68,15 +68,15 @@
 
 
 def read_request(request_class: type[RequestType], body: bytes) -> RequestType:
-    """Validate a JSON body; raise `InvalidInput` if it is wrong."""
+    """Validate a JSON body; raise `InvalidInput` if it is invalid."""
     try:
-        checked: RequestType = _ADAPTER_BY_CLASS[request_class].validate_json(
-            body
-        )
+        validated_request: RequestType = _ADAPTER_BY_CLASS[
+            request_class
+        ].validate_json(body)
     except ValidationError as error:
         detail = error.errors(include_url=False, include_input=False)[0]
-        place = '.'.join(str(part) for part in detail['loc']) or 'body'
+        location = '.'.join(str(part) for part in detail['loc']) or 'body'
         raise InvalidInput(
-            f'{place}: {detail["msg"]}', step='upstream'
+            f'{location}: {detail["msg"]}', step='upstream'
         ) from error
-    return checked
+    return validated_request
--- a/baobabgap/standin/_standin.py
+++ b/baobabgap/standin/_standin.py
@@ -1,4 +1,4 @@
-"""A pretend upstream that runs tasks by sleeping."""
+"""A simulated upstream that runs tasks by sleeping."""
 
 from concurrent.futures import ThreadPoolExecutor
 import threading
@@ -15,21 +15,21 @@
 from baobabgap.web import WebClient
 from baobabgap.web import WebServer
 
-_ANNOUNCE_PAUSE_S: Final = 1.0
-_ANNOUNCE_RETRY_S: Final = 0.1
+_ANNOUNCE_INTERVAL_S: Final = 1.0
+_ANNOUNCE_RETRY_INTERVAL_S: Final = 0.1
 _ANNOUNCE_TIMEOUT_S: Final = 1.0
-# Seconds that a planned stop waits for tasks to end.
-_DRAIN_LIMIT_S: Final = 30.0
-_DRAIN_PAUSE_S: Final = 0.02
-_THREADS_BESIDE_SLOTS: Final = 8
+# Time that a planned stop waits for running tasks.
+_DRAIN_TIMEOUT_S: Final = 30.0
+_DRAIN_POLL_INTERVAL_S: Final = 0.02
+_THREADS_BEYOND_SLOTS: Final = 8
 _LARGEST_BODY_BYTES: Final = 16 * 1024 * 1024
 
 
 class StandInUpstream:
     """Announces itself to its agent, and runs tasks under leases.
 
-    It is the upstream of demonstrations, tests and the bench; it counts
-    starts by itself, so that nobody has to trust the system's counts::
+    Demonstrations, tests and the benchmark use it. It counts task starts
+    itself, independently of the counts of the system under test::
 
         upstream = StandInUpstream.from_settings(settings)
         upstream.start()
@@ -49,7 +49,7 @@
             settings.listen.host,
             settings.listen.http_port,
             self._application,
-            settings.stand_in.slots + _THREADS_BESIDE_SLOTS,
+            settings.stand_in.slots + _THREADS_BEYOND_SLOTS,
             _LARGEST_BODY_BYTES,
         )
         self._address = f'{settings.listen.host}:{self.http_port}'
@@ -59,21 +59,21 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> 'StandInUpstream':
-        """Build a stand-in and bind its port."""
+        """Build a stand-in upstream and bind its port."""
         pool = ThreadPoolExecutor(thread_name_prefix='stand-in')
         return cls(settings, pool)
 
     @property
     def http_port(self) -> int:
-        """The port that it serves its agent on."""
+        """The port on which it serves its agent."""
         return self._server.port
 
     def bind(self, agent_incarnation: str, is_sole: bool) -> None:
-        """Take starts from this agent process only, as if it announced."""
+        """Accept starts only from this agent, as after an announcement."""
         self._application.bind(agent_incarnation, is_sole)
 
     def advertise(self, address: str) -> None:
-        """Announce another address than its own, such as a relay's."""
+        """Announce this address instead of its own, such as a relay's."""
         self._address = address
 
     def announce_to(self, agent_address: str) -> None:
@@ -81,45 +81,45 @@
         self._agent_address = agent_address
 
     def start(self) -> None:
-        """Serve, and announce itself about every second."""
+        """Start serving and announce itself about every second."""
         self._server.start(self._pool)
         self._pool.submit(self._announce_loop)
 
     def stop(self) -> None:
-        """Tell the agent that it leaves, let tasks end, and stop."""
+        """Announce its departure, wait for running tasks, and stop."""
         if not self._stopping.is_set():
             self._stopping.set()
             self._application.behave(Behaviour())
             self._announce_once(leaving=True)
-            self._drain()
+            self._wait_for_running_tasks()
             self._server.stop()
         self._pool.shutdown(wait=True)
 
-    def _drain(self) -> None:
-        give_up_at = time.monotonic() + _DRAIN_LIMIT_S
-        while self.leases.running and time.monotonic() < give_up_at:
-            time.sleep(_DRAIN_PAUSE_S)
+    def _wait_for_running_tasks(self) -> None:
+        deadline = time.monotonic() + _DRAIN_TIMEOUT_S
+        while self.leases.running and time.monotonic() < deadline:
+            time.sleep(_DRAIN_POLL_INTERVAL_S)
 
     def behave(self, behaviour: Behaviour) -> None:
-        """Switch faults on or off."""
+        """Enable or disable faults."""
         self._application.behave(behaviour)
         if behaviour.vanished and not self._stopping.is_set():
             self._stopping.set()
             threading.Thread(target=self._server.stop, daemon=True).start()
 
     def counts(self) -> dict[str, Any]:
-        """Return its own count of starts, as at /stand-in/counts."""
+        """Return its own count of starts, as /stand-in/counts does."""
         return self.leases.counts()
 
     def _announce_loop(self) -> None:
         while not self._stopping.is_set():
-            pause_s = _ANNOUNCE_RETRY_S
+            pause_s = _ANNOUNCE_RETRY_INTERVAL_S
             if self._announce_once(leaving=False):
-                pause_s = _ANNOUNCE_PAUSE_S
+                pause_s = _ANNOUNCE_INTERVAL_S
             self._stopping.wait(pause_s)
 
     def _announce_once(self, leaving: bool) -> bool:
-        """Announce, and bind to the agent's incarnation in its answer."""
+        """Announce itself and bind to the incarnation in the response."""
         if not self._agent_address or self._application.behaviour.frozen:
             return False
         client = WebClient(self._agent_address)
@@ -132,9 +132,10 @@
             )
             if response.status != 200:
                 return False
-            answer = response.document()
+            agent_document = response.document()
             self._application.bind(
-                answer['agent_incarnation'], answer['earlier_upstreams'] == 0
+                agent_document['agent_incarnation'],
+                agent_document['earlier_upstreams'] == 0,
             )
         except (ConnectionLost, ValueError, KeyError, TypeError):
             return False
@@ -143,21 +144,21 @@
         return True
 
     def _announcement(self, leaving: bool) -> dict[str, Any]:
-        own = self._settings.stand_in
-        # Usage is reported as of the announcement before.
+        stand_in_settings = self._settings.stand_in
+        # The reported usage is that of the previous announcement.
         usage = self._announced_running
         self._announced_running = self.leases.running
         return {
             'name': self._settings.name,
             'incarnation': self.incarnation,
             'address': self._address,
-            'slots': own.slots,
+            'slots': stand_in_settings.slots,
             'capacity': {
-                'processors': own.processors,
-                'memory_mb': own.memory_mb,
-                'accelerators': own.accelerators,
+                'processors': stand_in_settings.processors,
+                'memory_mb': stand_in_settings.memory_mb,
+                'accelerators': stand_in_settings.accelerators,
             },
             'rack': self._settings.place.rack,
-            'usage': {'running': usage, 'lag_s': _ANNOUNCE_PAUSE_S},
+            'usage': {'running': usage, 'lag_s': _ANNOUNCE_INTERVAL_S},
             'leaving': leaving,
         }
--- a/baobabgap/standin/tests/test_standin.py
+++ b/baobabgap/standin/tests/test_standin.py
@@ -1,4 +1,4 @@
-"""The stand-in upstream keeps to the upstream protocol."""
+"""Tests that the stand-in upstream follows the upstream protocol."""
 
 from concurrent.futures import Future
 from concurrent.futures import ThreadPoolExecutor
@@ -12,7 +12,7 @@
 from baobabgap.web import WebClient
 from baobabgap.web import WebResponse
 
-_WAIT_S = 20.0
+_TIMEOUT_S = 20.0
 
 
 class StandInTest(unittest.TestCase):
@@ -21,7 +21,7 @@
             {
                 'role': 'stand-in',
                 'name': 'up',
-                # Nobody listens there.
+                # No process listens on this port.
                 'stand_in': {'slots': 2, 'agent_address': '127.0.0.1:1'},
             },
             source='test',
@@ -38,7 +38,7 @@
     ) -> WebResponse:
         client = WebClient(f'127.0.0.1:{self.upstream.http_port}')
         try:
-            return client.request(method, path, document, timeout_s=_WAIT_S)
+            return client.request(method, path, document, timeout_s=_TIMEOUT_S)
         finally:
             client.close()
 
@@ -54,22 +54,22 @@
         } | changes
 
     def start(self, name: str, **changes: Any) -> 'Future[WebResponse]':
-        """Ask for a start, and wait until the upstream has heard of it."""
+        """Request a start and wait until the lease is listed or answered."""
         future = self.pool.submit(
             self.request, 'POST', '/v1/leases', self.lease(name, **changes)
         )
-        give_up_at = time.monotonic() + _WAIT_S
-        while not future.done() and name not in self.listed():
-            self.assertLess(time.monotonic(), give_up_at)
+        deadline = time.monotonic() + _TIMEOUT_S
+        while not future.done() and name not in self.listed_leases():
+            self.assertLess(time.monotonic(), deadline)
             time.sleep(0.01)
         return future
 
-    def listed(self) -> set[str]:
+    def listed_leases(self) -> set[str]:
         listing = self.request('GET', '/v1/leases').document()
         return {lease['lease'] for lease in listing['leases']}
 
-    def end_of(self, future: 'Future[WebResponse]') -> str:
-        return str(future.result(_WAIT_S).document()['state'])
+    def end_state(self, future: 'Future[WebResponse]') -> str:
+        return str(future.result(_TIMEOUT_S).document()['state'])
 
     def control(self, action: str, *leases: str, **more: Any) -> Any:
         document = {'agent_incarnation': 'agent', 'leases': leases} | more
@@ -96,29 +96,29 @@
                 answer = self.request('POST', '/v1/leases', document)
                 self.assertEqual(status, answer.status)
                 self.assertTrue(answer.document()['error'])
-        self.assertEqual({'j/1', 'j/2'}, self.listed())
+        self.assertEqual({'j/1', 'j/2'}, self.listed_leases())
         self.control('stop', 'j/1', 'j/2')
 
     def test_a_lease_starts_once_and_repeats_join_it(self) -> None:
         first = self.start('j/1')
         second = self.start('j/1')
         self.control('stop', 'j/1')
-        states = {self.end_of(first), self.end_of(second)}
+        states = {self.end_state(first), self.end_state(second)}
         self.assertEqual({'stopped'}, states)
-        self.assertEqual('stopped', self.end_of(self.start('j/1')))
+        self.assertEqual('stopped', self.end_state(self.start('j/1')))
         counts = self.request('GET', '/stand-in/counts').document()
         self.assertEqual(1, counts['starts'])
         self.assertEqual([['j', '1']], counts['started'])
 
-    def test_a_forgetful_one_counts_duplicates(self) -> None:
+    def test_a_forgetful_upstream_counts_duplicates(self) -> None:
         self.upstream.behave(Behaviour(forgetful=True, answers_at_once=True))
-        self.assertEqual('done', self.end_of(self.start('j/1')))
-        self.assertEqual('done', self.end_of(self.start('j/1')))
+        self.assertEqual('done', self.end_state(self.start('j/1')))
+        self.assertEqual('done', self.end_state(self.start('j/1')))
         self.assertEqual(1, self.upstream.counts()['duplicates'])
 
     def test_a_revoked_lease_never_starts(self) -> None:
         self.control('stop', 'j/1')
-        self.assertEqual('revoked', self.end_of(self.start('j/1')))
+        self.assertEqual('revoked', self.end_state(self.start('j/1')))
         self.assertEqual(0, self.upstream.counts()['starts'])
 
     def test_a_lease_lapses_unless_it_is_renewed(self) -> None:
@@ -127,25 +127,25 @@
         report = self.control('renew', 'j/2', 'j/9', lease_s=30.0)
         self.assertEqual(['j/2'], report['running'])
         self.assertEqual(['j/9'], report['unknown'])
-        self.assertEqual('lapsed', self.end_of(lapsing))
+        self.assertEqual('lapsed', self.end_state(lapsing))
         self.assertFalse(renewed.done())
         self.control('stop', 'j/2')
 
     def test_throttle_and_checkpoint(self) -> None:
-        slow = self.start('j/1', payload={'sleep_ms': 300})
+        throttled = self.start('j/1', payload={'sleep_ms': 300})
         self.control('throttle', 'j/1', share=0.001)
         done = self.control('checkpoint', 'j/1')['progress']['j/1']
         self.assertLess(done, 0.5)
-        self.assertFalse(slow.done())
+        self.assertFalse(throttled.done())
         self.control('stop', 'j/1')
 
     def test_an_ended_lease_is_listed_until_it_is_acknowledged(self) -> None:
         self.upstream.behave(Behaviour(answers_at_once=True))
         for name in ('j/1', 'j/2'):
-            self.end_of(self.start(name))
-        self.assertEqual({'j/1', 'j/2'}, self.listed())
+            self.end_state(self.start(name))
+        self.assertEqual({'j/1', 'j/2'}, self.listed_leases())
         self.request('DELETE', '/v1/leases/j/1')
-        self.assertEqual({'j/2'}, self.listed())
+        self.assertEqual({'j/2'}, self.listed_leases())
 
     def test_bad_behaviour_is_refused(self) -> None:
         for name, body in {
