--- a/baobabgap/api/tests/test_served.py
+++ b/baobabgap/api/tests/test_served.py
@@ -85,6 +85,7 @@
         self.assertEqual((200, 'whole'), (status, document['state']))
 
     def test_draining_closes_kept_alive_connections(self) -> None:
+        """A client with an open connection leaves a draining entry."""
         client = WebClient(f'127.0.0.1:{self._server.port}')
         self.addCleanup(client.close)
         response = client.request('GET', '/health', timeout_s=_TIMEOUT_S)
@@ -95,6 +96,7 @@
         self.assertEqual('close', response.header_by_name['connection'])
 
     def test_stalled_body(self) -> None:
+        """A request whose body stops arriving is answered with status 408."""
         cases: dict[str, bytes] = {
             'known length': _request_with_length(len(_BODY) + 9) + _BODY,
             'chunked': _chunked_head() + b'9\r\n{}',
--- a/baobabgap/telemetry/_records.py
+++ b/baobabgap/telemetry/_records.py
@@ -26,7 +26,7 @@
 class LogRecord:
     """One line of a log file."""
 
-    # Microseconds since the Unix epoch on the clock of the process's host.
+    # Microseconds since the Unix epoch, 1970, on the process's host clock.
     timestamp_us: int
     # The name of the process that wrote it.
     process: str
--- a/baobabgap/telemetry/tests/test_bounded_sink.py
+++ b/baobabgap/telemetry/tests/test_bounded_sink.py
@@ -43,6 +43,7 @@
     def test_blocked_reader_blocks_no_caller_and_drops_are_counted(
         self,
     ) -> None:
+        """A stalled log reader doesn't stall the process that logs."""
         stream = BlockedStream()
         sink = BoundedSink(stream)
         sink.add_fields(process='p')
--- a/baobabgap/tool/tests/test_tool.py
+++ b/baobabgap/tool/tests/test_tool.py
@@ -161,6 +161,12 @@
         self.assertEqual({JOB_ID}, identifiers)
 
     def test_refusal_after_a_lost_request_is_not_final(self) -> None:
+        """A job that may run isn't reported as refused.
+
+        The first entry closes the connection after it has read the
+        request, so the job may run there although the second entry
+        refuses it.
+        """
         entries = f'{self._serve_lost_connection()},{self.address}'
         self.job['deadline_ms'] = 600
         self.service.script = [_NEVER_FITS_ANSWER]
@@ -174,12 +180,14 @@
         self.assertEqual((0, 'whole'), (code, lines[0]['state']))
 
     def test_refusal_after_an_unsent_request_is_final(self) -> None:
+        """A refused connection leaves no job that may run."""
         self.service.script = [_NEVER_FITS_ANSWER]
         entries = f'127.0.0.1:{_free_port()},{self.address}'
         code, lines = self.submit(self.job, entries=entries)
         self.assertEqual((4, 'refused'), (code, lines[0]['state']))
 
     def test_draining_entry_is_left_at_once(self) -> None:
+        """The Retry-After time of one entry doesn't delay the next entry."""
         draining_service = _ScriptedService()
         draining_service.script = [_DRAINING_ANSWER]
         self.job['deadline_ms'] = 90_000
