--- a/tools/bench/__init__.py
+++ b/tools/bench/__init__.py
@@ -1,1 +1,1 @@
-"""A bench: real processes, seeded traces, one JSON line a case."""
+"""Benchmark with real processes and seeded traces."""
--- a/tools/bench/__main__.py
+++ b/tools/bench/__main__.py
@@ -1,6 +1,9 @@
-"""The bench's command line; `make bench` calls it.
+"""Command line of the benchmark, used by `make bench`.
 
-python -m tools.bench --cases load-0.8,burst --seconds 30 --seed 1
+Runs real processes under seeded traces and prints one JSON line for
+each case and policy::
+
+    python -m tools.bench --cases load-0.8,burst --seconds 30 --seed 1
 """
 
 import argparse
@@ -22,19 +25,19 @@
 
 
 def main() -> None:
-    """Run the chosen cases and print one JSON line for each."""
-    # So that the processes are ended also when the bench is.
+    """Run the selected cases and print one JSON line for each."""
+    # Exits through the context managers, which stop the processes.
     signal.signal(signal.SIGTERM, _exit)
     arguments = _parser().parse_args()
     names = tuple(name for name in arguments.cases.split(',') if name)
     policies = tuple(name for name in arguments.policies.split(',') if name)
     cases = all_cases(arguments.seed, arguments.seconds)
     try:
-        chosen = choose_policies(choose_cases(cases, names), policies)
+        selected = choose_policies(choose_cases(cases, names), policies)
     except ValueError as error:
         sys.exit(str(error))
     wide_lines = []
-    for line in run_cases(chosen, arguments.seed):
+    for line in run_cases(selected, arguments.seed):
         print(json.dumps(line), flush=True)
         if line['case'].startswith(WIDE_PREFIX):
             wide_lines.append(line)
@@ -45,10 +48,12 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog='python -m tools.bench')
     parser.add_argument(
-        '--cases', default='', help='names or their beginnings, with commas'
+        '--cases',
+        default='',
+        help='comma-separated names or prefixes; all if empty',
     )
     parser.add_argument(
-        '--policies', default='', help='names, with commas; all if empty'
+        '--policies', default='', help='comma-separated names; all if empty'
     )
     parser.add_argument('--seconds', type=float, default=_DEFAULT_SECONDS)
     parser.add_argument('--seed', type=int, default=_DEFAULT_SEED)
--- a/tools/bench/_answers.py
+++ b/tools/bench/_answers.py
@@ -1,4 +1,4 @@
-"""Requests and answers of jobs, checked as their caller sees them."""
+"""Builds submissions and classifies their responses for the caller."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,50 +10,50 @@
 
 
 class End(StrEnum):
-    """How a job ended for its caller."""
+    """The result of a job as its caller sees it."""
 
-    # Every value, in order, and its own.
+    # All values are there, in order, and belong to the job.
     WHOLE = 'whole'
-    # Told that nothing was run.
+    # The response says that no task ran.
     REFUSED = 'refused'
-    # Told that it failed.
+    # The response says that the job failed.
     FAILED = 'failed'
     # Cancelled by its caller.
     CANCELLED = 'cancelled'
     # No response, or neither an answer nor a failure.
     NO_ANSWER = 'no_answer'
-    # An answer that lacks values or has them out of order.
+    # Values are missing or out of order.
     PARTIAL = 'partial'
-    # An answer that holds another job's identifier or values.
+    # The answer has another job's identifier or values.
     WRONG_CALLER = 'wrong_caller'
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What the caller of one job saw."""
+    """The response to one job and its timing."""
 
     job: TraceJob
-    # The identifier that the job was submitted under.
+    # The identifier in the submission.
     identifier: str
     end: End
-    # Seconds from the start of the trace to the sending.
+    # Seconds from the start of the trace until the request is sent.
     sent_s: float
-    # Seconds from sending to the whole response.
+    # Seconds from sending until the response is complete.
     response_s: float
     # The failure's code, or empty.
     code: str = ''
-    # For a refusal: whether it said when to come back.
+    # Whether the response has a Retry-After header.
     has_retry_after: bool = False
 
     @property
-    def in_deadline(self) -> bool:
-        """Whether the job was answered whole within its deadline."""
-        within = self.response_s * 1000.0 <= self.job.deadline_ms
-        return self.end is End.WHOLE and within
+    def met_deadline(self) -> bool:
+        """Whether all results arrived is_in_time the deadline."""
+        is_in_time = self.response_s * 1000.0 <= self.job.deadline_ms
+        return self.end is End.WHOLE and is_in_time
 
 
 def submission_document(job: TraceJob, identifier: str) -> dict[str, Any]:
-    """Build the body that submits the job."""
+    """Build the JSON body that submits the job."""
     tasks = [
         {
             'identifier': task.identifier,
@@ -72,7 +72,7 @@
 
 
 def task_payload(identifier: str, task: TraceTask) -> dict[str, Any]:
-    """Build what the stand-in gets: how long to run, and a mark of its own."""
+    """Build the payload: the run time and a note unique to the task."""
     return {
         'sleep_ms': task.true_ms,
         'note': f'{identifier}/{task.identifier}',
@@ -86,8 +86,8 @@
     sent_s: float,
     response_s: float,
 ) -> Outcome:
-    """Check a response against the job that was submitted."""
-    end, code = _judge_document(job, identifier, _document(response))
+    """Classify a response by comparing it with the submitted job."""
+    end, code = _classify_document(job, identifier, _document(response))
     return Outcome(
         job=job,
         identifier=identifier,
@@ -107,27 +107,27 @@
     return document if isinstance(document, dict) else {}
 
 
-def _judge_document(
+def _classify_document(
     job: TraceJob, identifier: str, document: dict[str, Any]
 ) -> tuple[End, str]:
     if document.get('identifier', '') not in ('', identifier):
         return End.WRONG_CALLER, ''
     match document.get('state'):
         case 'whole':
-            return _judge_results(job, identifier, document['results']), ''
+            return _classify_results(job, identifier, document['results']), ''
         case 'refused':
-            return _judge_failure(End.REFUSED, document['error']['code'])
+            return _classify_failure(End.REFUSED, document['error']['code'])
         case 'failed':
-            return _judge_failure(End.FAILED, document['error']['code'])
+            return _classify_failure(End.FAILED, document['error']['code'])
         case state:
             return End.NO_ANSWER, str(state)
 
 
-def _judge_failure(end: End, code: str) -> tuple[End, str]:
+def _classify_failure(end: End, code: str) -> tuple[End, str]:
     return (End.CANCELLED if code == 'cancelled' else end), code
 
 
-def _judge_results(
+def _classify_results(
     job: TraceJob, identifier: str, results: list[dict[str, Any]]
 ) -> End:
     expected = [task.identifier for task in job.tasks]
--- a/tools/bench/_caller.py
+++ b/tools/bench/_load_generator.py
@@ -1,4 +1,4 @@
-"""The callers: open loop, so that a slow answer delays no later job."""
+"""Open-loop load generator: a slow response delays no later job."""
 
 from collections.abc import Sequence
 from concurrent.futures import Future
@@ -19,25 +19,24 @@
 from tools.bench._answers import submission_document
 from tools.bench._trace import TraceJob
 
-_MOST_CALLERS: Final = 1500
-# Beyond the deadline, until a caller gives up on its response.
-_GRACE_S: Final = 20.0
+_MAX_REQUEST_THREADS: Final = 1500
+# Time after the deadline during which a response is still awaited.
+_RESPONSE_GRACE_S: Final = 20.0
 _CANCEL_LIMIT_S: Final = 10.0
-# For each entry.
-_WARM_CONNECTIONS: Final = 256
+_WARM_CONNECTIONS_PER_ENTRY: Final = 256
 _WARM_UP_LIMIT_S: Final = 20.0
 _EMPTY_ROUND_TRIPS: Final = 200
 
 
-class Callers:
-    """Many callers that share kept-alive connections to the entries."""
+class LoadGenerator:
+    """Sends the jobs of a trace over a pool of keep-alive connections."""
 
     def __init__(self, addresses: Sequence[str]) -> None:
         self._addresses = tuple(addresses)
         self._idle_by_address: dict[str, queue.LifoQueue[WebClient]] = {
             address: queue.LifoQueue() for address in addresses
         }
-        self._pool = ThreadPoolExecutor(_MOST_CALLERS, 'caller')
+        self._pool = ThreadPoolExecutor(_MAX_REQUEST_THREADS, 'caller')
         self._started_at = 0.0
 
     def close(self) -> None:
@@ -48,7 +47,7 @@
                 idle.get_nowait().close()
 
     def measure_empty_round_trip_s(self) -> float:
-        """Return the median time of a request without any work."""
+        """Return the median round trip of a request that runs no task."""
         client = WebClient(self._addresses[0])
         durations = []
         for _ in range(_EMPTY_ROUND_TRIPS):
@@ -59,11 +58,11 @@
         return statistics.median(durations)
 
     def run(self, jobs: Sequence[TraceJob], prefix: str) -> list[Outcome]:
-        """Submit and cancel as the trace says; return when all have ended.
+        """Submit and cancel jobs by the trace; return once all have ended.
 
-        The prefix makes the identifiers of this run its own; it may have
-        letters, digits and hyphens. Submissions
-        and cancels go to the entries in turn.
+        The prefix makes the job identifiers unique to this run and may
+        hold letters, digits and hyphens. Requests are distributed over
+        the entries round-robin.
         """
         issued_ms = time.time_ns() // 1_000_000
         identifiers = [
@@ -71,58 +70,58 @@
             f'.{prefix}-{job.number}'
             for job in jobs
         ]
-        moments = [
+        events = [
             (job.arrival_s, index, False) for index, job in enumerate(jobs)
         ] + [
             (job.cancel_s, index, True)
             for index, job in enumerate(jobs)
             if job.cancel_s is not None
         ]
-        heapq.heapify(moments)
+        heapq.heapify(events)
         self._warm_up()
-        turn = itertools.cycle(self._addresses)
+        addresses = itertools.cycle(self._addresses)
         futures: list[Future[Outcome]] = []
         self._started_at = time.perf_counter()
-        while moments:
-            at_s, index, cancels = heapq.heappop(moments)
-            self._sleep_until(at_s)
+        while events:
+            due_s, index, is_cancel = heapq.heappop(events)
+            self._sleep_until(due_s)
             job, identifier = jobs[index], identifiers[index]
-            if cancels:
-                self._pool.submit(self._cancel, next(turn), identifier)
+            if is_cancel:
+                self._pool.submit(self._cancel, next(addresses), identifier)
                 continue
-            address = next(turn)
+            address = next(addresses)
             futures.append(
                 self._pool.submit(self._submit, address, job, identifier)
             )
         return [future.result() for future in futures]
 
     def _warm_up(self) -> None:
-        """Make threads and connections ahead, so that few jobs wait."""
-        warm = _WARM_CONNECTIONS * len(self._addresses)
-        all_there = threading.Barrier(warm)
+        """Create threads and connections before the first job is sent."""
+        connections = _WARM_CONNECTIONS_PER_ENTRY * len(self._addresses)
+        barrier = threading.Barrier(connections)
         addresses = itertools.cycle(self._addresses)
         futures = [
-            self._pool.submit(self._connect, next(addresses), all_there)
-            for _ in range(warm)
+            self._pool.submit(self._connect, next(addresses), barrier)
+            for _ in range(connections)
         ]
         for future in futures:
             future.result()
 
-    def _connect(self, address: str, all_there: threading.Barrier) -> None:
+    def _connect(self, address: str, barrier: threading.Barrier) -> None:
         client = WebClient(address)
         client.request('GET', '/health', timeout_s=_WARM_UP_LIMIT_S)
         self._idle_by_address[address].put(client)
-        all_there.wait(_WARM_UP_LIMIT_S)
+        barrier.wait(_WARM_UP_LIMIT_S)
 
-    def _sleep_until(self, at_s: float) -> None:
-        pause_s = self._started_at + at_s - time.perf_counter()
+    def _sleep_until(self, due_s: float) -> None:
+        pause_s = self._started_at + due_s - time.perf_counter()
         if pause_s > 0:
             time.sleep(pause_s)
 
     def _submit(self, address: str, job: TraceJob, identifier: str) -> Outcome:
-        client = self._take(address)
+        client = self._take_client(address)
         document = submission_document(job, identifier)
-        timeout_s = job.deadline_ms / 1000.0 + _GRACE_S
+        timeout_s = job.deadline_ms / 1000.0 + _RESPONSE_GRACE_S
         sent_at = time.perf_counter()
         sent_s = sent_at - self._started_at
         try:
@@ -140,7 +139,7 @@
         return judge(job, identifier, response, sent_s, response_s)
 
     def _cancel(self, address: str, identifier: str) -> None:
-        client = self._take(address)
+        client = self._take_client(address)
         try:
             client.request(
                 'DELETE', f'/v1/jobs/{identifier}', timeout_s=_CANCEL_LIMIT_S
@@ -150,7 +149,7 @@
             return
         self._idle_by_address[address].put(client)
 
-    def _take(self, address: str) -> WebClient:
+    def _take_client(self, address: str) -> WebClient:
         try:
             return self._idle_by_address[address].get_nowait()
         except queue.Empty:
--- a/tools/bench/_machine.py
+++ b/tools/bench/_machine.py
@@ -1,4 +1,4 @@
-"""How busy others kept the machine while a case ran."""
+"""Measures the processor load that other processes cause."""
 
 from dataclasses import dataclass
 import os
@@ -10,23 +10,24 @@
 from tools.launcher import Launcher
 
 _TICKS_PER_SECOND: Final = os.sysconf('SC_CLK_TCK')
+# Positions of idle and iowait in the first line of /proc/stat.
 _IDLE_FIELDS: Final = (3, 4)
 
 
 @dataclass(frozen=True, slots=True)
-class MachineReading:
-    """Processor time at one moment."""
+class MachineUsage:
+    """Processor time of the machine and of the benchmark."""
 
-    # Seconds of the monotonic clock.
+    # Time of the reading on the monotonic clock, in seconds.
     at_s: float
-    # Processor time of the whole machine since its start, in seconds.
+    # Processor time of the whole machine since boot, in seconds.
     machine_s: float
-    # Processor time of this process and the launcher's, in seconds.
+    # Processor time of this process and those of the launcher, in seconds.
     own_s: float
 
     @classmethod
     def take(cls, launcher: Launcher) -> Self:
-        """Read the machine's and our own processor time."""
+        """Read the processor times of now."""
         first_line = Path('/proc/stat').read_text().splitlines()[0]
         ticks = [int(field) for field in first_line.split()[1:9]]
         idle_ticks = sum(ticks[field] for field in _IDLE_FIELDS)
@@ -38,8 +39,8 @@
         )
         return cls(time.monotonic(), machine_s, own_s)
 
-    def cores_of_others_since(self, earlier: 'MachineReading') -> float:
-        """Return how many cores others kept busy in between, on average."""
+    def cores_of_others_since(self, earlier: 'MachineUsage') -> float:
+        """Return the average number of cores that other processes used."""
         machine_s = self.machine_s - earlier.machine_s
         own_s = self.own_s - earlier.own_s
         return (machine_s - own_s) / (self.at_s - earlier.at_s)
--- a/tools/bench/_reading.py
+++ b/tools/bench/_reading.py
@@ -1,4 +1,4 @@
-"""What the processes and the stand-ins have counted at one moment."""
+"""Reads the counters of the deployed processes and the stand-ins."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -15,26 +15,26 @@
 
 _READ_LIMIT_S: Final = 10.0
 _COUNTED_ROLES: Final = ('control', 'entry', 'agent')
-_MESSAGES: Final = 'baobabgap_messages_received_total'
-_WASTED: Final = 'baobabgap_wasted_messages_total'
-_HEARTBEAT: Final = 'Heartbeat'
-_LINE: Final = re.compile(r'(\w+)\{kind="([^"]*)"\} ([0-9.e+]+)')
+_MESSAGES_METRIC: Final = 'baobabgap_messages_received_total'
+_WASTED_METRIC: Final = 'baobabgap_wasted_messages_total'
+_HEARTBEAT_KIND: Final = 'Heartbeat'
+_METRIC_LINE: Final = re.compile(r'(\w+)\{kind="([^"]*)"\} ([0-9.e+]+)')
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    """Counts since the start of each process that runs."""
+class CounterSnapshot:
+    """Counters of each running process, from the start of the process."""
 
-    # Messages received, by process and kind, heartbeats left out.
+    # Messages received, by process and kind, without heartbeats.
     messages_by_process: dict[str, Counter[str]]
     # Wasted messages received, by process and kind.
     wasted_by_process: dict[str, Counter[str]]
-    # Seconds of processor time by process.
+    # Processor time by process, in seconds.
     processor_s_by_process: dict[str, float]
 
     @classmethod
     def take(cls, launcher: Launcher) -> Self:
-        """Read all processes of the product that run."""
+        """Read all running processes except the stand-ins."""
         messages: dict[str, Counter[str]] = {}
         wasted: dict[str, Counter[str]] = {}
         processor_s: dict[str, float] = {}
@@ -43,60 +43,60 @@
                 text = _read_metrics(launcher, name)
                 if text is None:
                     continue
-                messages[name] = _counts(text, _MESSAGES)
-                del messages[name][_HEARTBEAT]
-                wasted[name] = _counts(text, _WASTED)
+                messages[name] = _counts_by_kind(text, _MESSAGES_METRIC)
+                del messages[name][_HEARTBEAT_KIND]
+                wasted[name] = _counts_by_kind(text, _WASTED_METRIC)
                 processor_s[name] = launcher.usage(name).processor_s
         return cls(messages, wasted, processor_s)
 
-    def since(self, earlier: 'Reading') -> 'Reading':
-        """Return what was added since, by processes read both times."""
-        both = self.messages_by_process.keys() & (
+    def since(self, earlier: 'CounterSnapshot') -> 'CounterSnapshot':
+        """Return the increments, for the processes in both snapshots."""
+        common = self.messages_by_process.keys() & (
             earlier.messages_by_process.keys()
         )
-        return Reading(
+        return CounterSnapshot(
             {
                 name: self.messages_by_process[name]
                 - earlier.messages_by_process[name]
-                for name in both
+                for name in common
             },
             {
                 name: self.wasted_by_process[name]
                 - earlier.wasted_by_process[name]
-                for name in both
+                for name in common
             },
             {
                 name: self.processor_s_by_process[name]
                 - earlier.processor_s_by_process[name]
-                for name in both
+                for name in common
             },
         )
 
     def processor_s(self, names: Iterable[str]) -> float:
-        """Add up the processor time of these processes."""
+        """Return the processor time of these processes, in seconds."""
         return sum(
             self.processor_s_by_process.get(name, 0.0) for name in names
         )
 
     def messages_by_kind(self) -> Counter[str]:
-        """Add up the messages of all processes."""
+        """Return the messages of all processes by kind."""
         return sum(self.messages_by_process.values(), Counter[str]())
 
     def wasted_by_kind(self) -> Counter[str]:
-        """Add up the wasted messages of all processes."""
+        """Return the wasted messages of all processes by kind."""
         return sum(self.wasted_by_process.values(), Counter[str]())
 
 
 class StandInCounts:
-    """What the stand-ins counted; remembers those that are gone."""
+    """Counts of the stand-ins, with the last ones of ended processes."""
 
     def __init__(self, launcher: Launcher) -> None:
         self._launcher = launcher
-        # By name and process id, since a restarted one counts anew.
+        # By name and process id: a restarted stand-in counts from zero.
         self._counts_by_process: dict[tuple[str, int], dict[str, Any]] = {}
 
     def refresh(self) -> None:
-        """Read all stand-ins that run."""
+        """Read all running stand-ins."""
         for name in self._launcher.names_with_role('stand-in'):
             if self._launcher.is_running(name):
                 self.refresh_one(name)
@@ -123,7 +123,7 @@
         return starts
 
     def total(self, key: str) -> int:
-        """Add up one of the stand-ins' own counts."""
+        """Return the sum of one count over all stand-ins."""
         return sum(
             int(counts[key]) for counts in self._counts_by_process.values()
         )
@@ -140,9 +140,9 @@
     return response.body.decode()
 
 
-def _counts(text: str, wanted: str) -> Counter[str]:
+def _counts_by_kind(text: str, metric: str) -> Counter[str]:
     counts: Counter[str] = Counter()
-    for name, kind, value in _LINE.findall(text):
-        if name == wanted:
+    for name, kind, value in _METRIC_LINE.findall(text):
+        if name == metric:
             counts[kind] += int(float(value))
     return counts
--- a/tools/bench/_trace.py
+++ b/tools/bench/_trace.py
@@ -1,9 +1,9 @@
-"""Traces: which jobs arrive when, how long they run and what is declared.
+"""Generates traces: arrival times, true and declared run times of jobs.
 
-A trace depends on its seed and shape alone, so that every policy sees
-the same work. Run times follow the kind of task; what clients declare is
-off by up to five times, partly always in the same direction for a client
-and kind, partly by chance.
+A trace depends only on its seed and shape, so that all policies get the
+same work. Run times follow the kind of task. Declared run times are off
+by a factor of up to five: a bias that is constant for a client and kind,
+times a random error of each task.
 """
 
 from dataclasses import dataclass
@@ -11,20 +11,20 @@
 import random
 from typing import Final
 
-LARGEST_ERROR: Final = 5.0
-_CHANCE_ERROR: Final = 2.0
-_LARGEST_JOB: Final = 16
+MAX_ERROR_FACTOR: Final = 5.0
+_MAX_RANDOM_ERROR_FACTOR: Final = 2.0
+_MAX_TASKS_PER_JOB: Final = 16
 _SHARE_OF_MAIN_KIND: Final = 0.8
-_NEVER_LATE_MS: Final = 300_000
+_LAX_DEADLINE_MS: Final = 300_000
 
 
 @dataclass(frozen=True, slots=True)
 class TaskKind:
-    """A sort of work, with a log-normal distribution of run times."""
+    """A kind of task, with a log-normal distribution of run times."""
 
     name: str
     client: str
-    # How often it is drawn, relative to the client's other kinds.
+    # Relative frequency among the client's kinds.
     weight: float
     median_ms: float
     # Standard deviation of the logarithm of the run time.
@@ -32,10 +32,10 @@
     shortest_ms: float = 50.0
     longest_ms: float = 1000.0
 
-    def draw_run_time_ms(self, chance: random.Random) -> float:
+    def draw_run_time_ms(self, rng: random.Random) -> float:
         """Draw one true run time."""
-        drawn = self.median_ms * math.exp(chance.gauss(0.0, self.spread))
-        return min(max(drawn, self.shortest_ms), self.longest_ms)
+        run_time_ms = self.median_ms * math.exp(rng.gauss(0.0, self.spread))
+        return min(max(run_time_ms, self.shortest_ms), self.longest_ms)
 
 
 KINDS: Final = (
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceTask:
-    """One task with its true and its declared run time."""
+    """A task with its true and its declared run time."""
 
     identifier: str
     kind: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceJob:
-    """One job and when it arrives."""
+    """A job, its arrival time and its deadline."""
 
     # Unique within the trace.
     number: int
@@ -80,73 +80,73 @@
 
     @property
     def longest_s(self) -> float:
-        """The true run time of the longest task."""
+        """The true run time of the longest task, in seconds."""
         return max(task.true_ms for task in self.tasks) / 1000.0
 
     @property
     def work_s(self) -> float:
-        """The true run time of all tasks together."""
+        """The total true run time of all tasks, in seconds."""
         return sum(task.true_ms for task in self.tasks) / 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class ArrivalPhase:
-    """A time during which jobs arrive as a Poisson process."""
+    """An interval in which jobs arrive as a Poisson process."""
 
     start_s: float
     seconds: float
-    # Arriving work over what the slots can run in this time.
+    # Ratio of arriving work to the capacity of the slots.
     load: float
 
 
 @dataclass(frozen=True, slots=True)
 class CancelWave:
-    """Many callers give up at the same moment."""
+    """Many callers cancel their jobs at the same time."""
 
     at_s: float
-    # Jobs that arrived within this many seconds before may be cancelled.
-    reach_s: float
-    # The share of these jobs that is cancelled.
+    # Seconds before `at_s` in which the cancelled jobs arrived.
+    window_s: float
+    # Probability that such a job is cancelled.
     share: float
 
 
 @dataclass(frozen=True, slots=True)
 class TraceShape:
-    """What a trace is drawn from."""
+    """The parameters of a trace."""
 
     slots: int
     phases: tuple[ArrivalPhase, ...]
     waves: tuple[CancelWave, ...] = ()
-    # The deadline over the longest task's true run time, on top of
-    # `deadline_margin_ms`; None for a deadline that never matters.
+    # The deadline is the longest task's true run time times this factor,
+    # plus `deadline_margin_ms`. None sets a deadline that no job misses.
     deadline_stretch: float | None = None
     deadline_margin_ms: int = 500
 
 
 def generate_trace(seed: int, shape: TraceShape) -> tuple[TraceJob, ...]:
-    """Draw the jobs of a trace, in order of arrival.
+    """Generate the jobs of a trace, in order of arrival.
 
-    In each phase the arriving work is exactly the load asked for, to
-    within one job, and arrivals are those of a Poisson process.
+    In each phase the arriving work matches the load to within one job,
+    and arrivals are those of a Poisson process.
     """
-    chance = random.Random(seed)
-    bias_by_kind = {kind.name: _draw_bias(chance) for kind in KINDS}
+    rng = random.Random(seed)
+    bias_by_kind = {kind.name: _draw_bias(rng) for kind in KINDS}
     jobs: list[TraceJob] = []
     for phase in shape.phases:
-        bodies = _draw_bodies(chance, phase, shape.slots, bias_by_kind)
+        work = _draw_work(rng, phase, shape.slots, bias_by_kind)
         arrivals = sorted(
-            phase.start_s + chance.random() * phase.seconds for _ in bodies
+            phase.start_s + rng.random() * phase.seconds for _ in work
         )
-        for arrival_s, (client, tasks) in zip(arrivals, bodies, strict=True):
+        for arrival_s, (client, tasks) in zip(arrivals, work, strict=True):
             jobs.append(
                 TraceJob(
                     number=len(jobs),
                     arrival_s=arrival_s,
                     client=client,
-                    team=chance.choice(TEAMS_BY_CLIENT[client]),
+                    team=rng.choice(TEAMS_BY_CLIENT[client]),
                     deadline_ms=_deadline_ms(shape, tasks),
                     tasks=tasks,
-                    cancel_s=_draw_cancel(chance, shape.waves, arrival_s),
+                    cancel_s=_draw_cancel_s(rng, shape.waves, arrival_s),
                 )
             )
     return tuple(jobs)
@@ -155,14 +155,14 @@
 def generate_wide_trace(
     jobs: int, tasks: int, pause_s: float
 ) -> tuple[TraceJob, ...]:
-    """Make jobs of many tasks that take no time, evenly spaced."""
+    """Generate evenly spaced jobs of many tasks with a run time of 0."""
     return tuple(
         TraceJob(
             number=number,
             arrival_s=number * pause_s,
             client='etnavapore',
             team='drilling',
-            deadline_ms=_NEVER_LATE_MS,
+            deadline_ms=_LAX_DEADLINE_MS,
             tasks=tuple(
                 TraceTask(f't{index}', 'instant', 0.0, 1)
                 for index in range(tasks)
@@ -172,71 +172,73 @@
     )
 
 
-def _draw_bias(chance: random.Random) -> float:
-    """Draw the factor by which declarations of one kind are always off."""
-    reach = math.log(LARGEST_ERROR)
-    return math.exp(chance.uniform(-reach, reach))
+def _draw_bias(rng: random.Random) -> float:
+    """Draw the constant error factor of one kind's declarations."""
+    log_limit = math.log(MAX_ERROR_FACTOR)
+    return math.exp(rng.uniform(-log_limit, log_limit))
 
 
-def _draw_bodies(
-    chance: random.Random,
+def _draw_work(
+    rng: random.Random,
     phase: ArrivalPhase,
     slots: int,
     bias_by_kind: dict[str, float],
 ) -> list[tuple[str, tuple[TraceTask, ...]]]:
-    """Draw clients and tasks until their work fills the phase's load."""
-    wanted_ms = phase.load * slots * phase.seconds * 1000.0
-    drawn_ms = 0.0
-    bodies = []
-    while drawn_ms < wanted_ms:
-        client = chance.choice(sorted(TEAMS_BY_CLIENT))
-        tasks = _draw_tasks(chance, client, bias_by_kind)
-        drawn_ms += sum(task.true_ms for task in tasks)
-        bodies.append((client, tasks))
-    chance.shuffle(bodies)
-    return bodies
+    """Draw clients and tasks until their work reaches the phase's load."""
+    target_ms = phase.load * slots * phase.seconds * 1000.0
+    total_ms = 0.0
+    work = []
+    while total_ms < target_ms:
+        client = rng.choice(sorted(TEAMS_BY_CLIENT))
+        tasks = _draw_tasks(rng, client, bias_by_kind)
+        total_ms += sum(task.true_ms for task in tasks)
+        work.append((client, tasks))
+    rng.shuffle(work)
+    return work
 
 
 def _draw_tasks(
-    chance: random.Random, client: str, bias_by_kind: dict[str, float]
+    rng: random.Random, client: str, bias_by_kind: dict[str, float]
 ) -> tuple[TraceTask, ...]:
-    """Draw between 1 and 16 tasks, small jobs more often."""
-    count = int(_LARGEST_JOB ** chance.random() + 0.5)
+    """Draw 1 to 16 tasks; the number is log-uniformly distributed."""
+    count = int(_MAX_TASKS_PER_JOB ** rng.random() + 0.5)
     kinds = [kind for kind in KINDS if kind.client == client]
     weights = [kind.weight for kind in kinds]
-    main_kind = chance.choices(kinds, weights)[0]
+    main_kind = rng.choices(kinds, weights)[0]
     tasks = []
     for index in range(count):
         kind = main_kind
-        if chance.random() > _SHARE_OF_MAIN_KIND:
-            kind = chance.choices(kinds, weights)[0]
-        true_ms = round(kind.draw_run_time_ms(chance), 1)
-        error = bias_by_kind[kind.name] * _draw_chance_error(chance)
-        error = min(max(error, 1.0 / LARGEST_ERROR), LARGEST_ERROR)
-        declared_ms = max(1, round(true_ms * error))
+        if rng.random() > _SHARE_OF_MAIN_KIND:
+            kind = rng.choices(kinds, weights)[0]
+        true_ms = round(kind.draw_run_time_ms(rng), 1)
+        error_factor = bias_by_kind[kind.name] * _draw_random_error(rng)
+        error_factor = min(
+            max(error_factor, 1.0 / MAX_ERROR_FACTOR), MAX_ERROR_FACTOR
+        )
+        declared_ms = max(1, round(true_ms * error_factor))
         tasks.append(TraceTask(f't{index}', kind.name, true_ms, declared_ms))
     return tuple(tasks)
 
 
-def _draw_chance_error(chance: random.Random) -> float:
-    reach = math.log(_CHANCE_ERROR)
-    return math.exp(chance.uniform(-reach, reach))
+def _draw_random_error(rng: random.Random) -> float:
+    log_limit = math.log(_MAX_RANDOM_ERROR_FACTOR)
+    return math.exp(rng.uniform(-log_limit, log_limit))
 
 
 def _deadline_ms(shape: TraceShape, tasks: tuple[TraceTask, ...]) -> int:
     if shape.deadline_stretch is None:
-        return _NEVER_LATE_MS
+        return _LAX_DEADLINE_MS
     longest_ms = max(task.true_ms for task in tasks)
     return round(longest_ms * shape.deadline_stretch) + (
         shape.deadline_margin_ms
     )
 
 
-def _draw_cancel(
-    chance: random.Random, waves: tuple[CancelWave, ...], arrival_s: float
+def _draw_cancel_s(
+    rng: random.Random, waves: tuple[CancelWave, ...], arrival_s: float
 ) -> float | None:
     for wave in waves:
-        reached = wave.at_s - wave.reach_s <= arrival_s < wave.at_s
-        if reached and chance.random() < wave.share:
+        is_in_window = wave.at_s - wave.window_s <= arrival_s < wave.at_s
+        if is_in_window and rng.random() < wave.share:
             return wave.at_s
     return None
--- a/tools/tests/test_answers.py
+++ b/tools/tests/test_answers.py
@@ -63,9 +63,9 @@
                 outcome = judge(_JOB, _OWN, response, 0.0, 0.9)
                 self.assertEqual(expected, outcome.end)
                 self.assertTrue(outcome.has_retry_after)
-                self.assertEqual(expected is End.WHOLE, outcome.in_deadline)
+                self.assertEqual(expected is End.WHOLE, outcome.met_deadline)
 
     def test_late(self) -> None:
         body = json.dumps(_whole(*map(_result, _TASKS))).encode()
         outcome = judge(_JOB, _OWN, WebResponse(200, {}, body), 0.0, 1.1)
-        self.assertFalse(outcome.in_deadline)
+        self.assertFalse(outcome.met_deadline)
--- a/tools/tests/test_report.py
+++ b/tools/tests/test_report.py
@@ -5,7 +5,7 @@
 
 from tools.bench._answers import End
 from tools.bench._answers import Outcome
-from tools.bench._reading import Reading
+from tools.bench._reading import CounterSnapshot
 from tools.bench._report import CaseRun
 from tools.bench._report import report_line
 from tools.bench._report import slope_line
@@ -40,13 +40,13 @@
         has_baseline=True,
         outcomes=outcomes,
         empty_round_trip_s=0.0,
-        reading=Reading(
+        counters=CounterSnapshot(
             {'entry-1': Counter(PlaceTasks=6), 'agent-1': Counter(Changes=2)},
             {'entry-1': Counter(late_result=1)},
             {'entry-1': 0.004, 'agent-1': 0.008, 'control-1': 0.02},
         ),
         starts_by_task=starts,
-        own_duplicates=0,
+        duplicates_within_stand_ins=0,
         repeated_requests=1,
         cores_of_others=0.0,
         extra={},
--- a/tools/tests/test_trace.py
+++ b/tools/tests/test_trace.py
@@ -6,7 +6,7 @@
 from tools.bench._trace import CancelWave
 from tools.bench._trace import generate_trace
 from tools.bench._trace import generate_wide_trace
-from tools.bench._trace import LARGEST_ERROR
+from tools.bench._trace import MAX_ERROR_FACTOR
 from tools.bench._trace import TraceShape
 
 _SHAPE = TraceShape(
@@ -45,8 +45,8 @@
         self.assertTrue(all(50 <= task.true_ms <= 6000 for task in tasks))
         self.assertTrue(any(task.true_ms > 2000 for task in tasks))
         errors = [task.declared_ms / task.true_ms for task in tasks]
-        self.assertLessEqual(max(errors), LARGEST_ERROR * 1.02)
-        self.assertGreaterEqual(min(errors), 0.98 / LARGEST_ERROR)
+        self.assertLessEqual(max(errors), MAX_ERROR_FACTOR * 1.02)
+        self.assertGreaterEqual(min(errors), 0.98 / MAX_ERROR_FACTOR)
 
     def test_cancel_waves(self) -> None:
         jobs = generate_trace(7, _SHAPE)
