--- a/tools/_control_checker.py
+++ b/tools/_control_checker.py
@@ -1,4 +1,4 @@
-"""Checks the history of a run against what the control group promises."""
+"""Checks a recorded history against the control group's guarantees."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimEvent:
-    """How one claim ended at the entry that made it."""
+    """The outcome of one claim at the entry that made it."""
 
     # The job's identifier.
     job: str
@@ -20,7 +20,7 @@
     token: int
     # The outcome, or None if the claim failed.
     status: ClaimStatus | None
-    # The owner that the outcome names, or empty.
+    # The owner in the outcome, or empty.
     owner: str = ''
     # If it failed: whether it was said to have changed nothing.
     unchanged: bool = False
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketEvent:
-    """How one ticket ended at the tool that put it."""
+    """The outcome of one ticket at the tool that put it."""
 
     # The ticket's number.
     number: int
-    # What told this ticket from others with its number.
+    # Tells this ticket apart from others with the same number.
     content: str
     # The outcome, or None if the request failed.
     status: TicketStatus | None
-    # When the answer came, on the checker's monotonic clock.
+    # Time of the answer on the monotonic clock, in seconds.
     answered_at: float
     # If it failed: whether it was said to have changed nothing.
     unchanged: bool = False
@@ -44,56 +44,56 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadEvent:
-    """The newest ticket that a reader saw."""
+    """The newest ticket that a read returned."""
 
     # The reader's name.
     reader: str
     # The number of the newest ticket.
     number: int
-    # When the read began, on the checker's monotonic clock.
+    # Start of the read on the monotonic clock, in seconds.
     began_at: float
-    # Whether the read passed the leader's read barrier.
+    # Whether the read went through the leader's read barrier.
     is_linearizable: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FinalState:
-    """What the group says once all faults are over."""
+    """The state that the group reports after all faults."""
 
     # The owner's name by job.
     owner_by_job: dict[str, str]
-    # What tells the accepted ticket, by its number.
+    # The content of each accepted ticket, by number.
     content_by_number: dict[int, str]
 
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """All that was seen in one run, each list in the order of time."""
+    """The events of one run, each list in order of time."""
 
-    # How each claim ended.
+    # Outcomes of claims.
     claims: list[ClaimEvent]
-    # How each ticket ended.
+    # Outcomes of tickets.
     tickets: list[TicketEvent]
-    # What was read, and what was pushed.
+    # Reads, and changes pushed to a member.
     reads: list[ReadEvent]
-    # What the group says in the end.
+    # The state after the run.
     final: FinalState
 
 
 def check(history: History) -> list[str]:
-    """Return one line for each broken promise."""
+    """Return one line for each violation of a guarantee."""
     return [
-        *_check_one_grant(history.claims),
-        *_check_refused_claims(history),
-        *_check_kept_grants(history),
-        *_check_one_ticket_a_number(history.tickets),
-        *_check_kept_tickets(history),
-        *_check_reads_go_forward(history.reads),
-        *_check_reads_are_recent(history),
+        *_check_single_grant(history.claims),
+        *_check_failed_claims(history),
+        *_check_durable_grants(history),
+        *_check_unique_ticket_numbers(history.tickets),
+        *_check_durable_tickets(history),
+        *_check_monotonic_reads(history.reads),
+        *_check_linearizable_reads(history),
     ]
 
 
-def _check_one_grant(claims: Iterable[ClaimEvent]) -> list[str]:
+def _check_single_grant(claims: Iterable[ClaimEvent]) -> list[str]:
     holders_by_job = defaultdict(set)
     for event in claims:
         if event.status is ClaimStatus.GRANTED:
@@ -105,15 +105,15 @@
     ]
 
 
-def _check_refused_claims(history: History) -> list[str]:
-    """An entry that was told `unchanged` each time owns nothing."""
+def _check_failed_claims(history: History) -> list[str]:
+    """Check that an entry whose claims all failed unchanged owns nothing."""
     may_own = {
         (event.job, event.entry)
         for event in history.claims
         if event.status is not None or not event.unchanged
     }
     return [
-        f'{event.job} is owned by {event.entry}, which was told otherwise'
+        f'{event.job} is owned by {event.entry}, whose claims failed unchanged'
         for event in history.claims
         if event.status is None
         and (event.job, event.entry) not in may_own
@@ -121,7 +121,7 @@
     ]
 
 
-def _check_kept_grants(history: History) -> list[str]:
+def _check_durable_grants(history: History) -> list[str]:
     return [
         f'{event.job} was granted to {event.entry} and is owned by '
         f'{history.final.owner_by_job.get(event.job)!r}'
@@ -131,7 +131,7 @@
     ]
 
 
-def _check_one_ticket_a_number(tickets: Iterable[TicketEvent]) -> list[str]:
+def _check_unique_ticket_numbers(tickets: Iterable[TicketEvent]) -> list[str]:
     contents_by_number = defaultdict(set)
     for event in tickets:
         if event.status is TicketStatus.ACCEPTED:
@@ -143,32 +143,34 @@
     ]
 
 
-def _check_kept_tickets(history: History) -> list[str]:
-    kept = history.final.content_by_number
-    found = []
+def _check_durable_tickets(history: History) -> list[str]:
+    content_by_number = history.final.content_by_number
+    violations = []
     for event in history.tickets:
-        is_kept = kept.get(event.number) == event.content
-        if event.status is TicketStatus.ACCEPTED and not is_kept:
-            found.append(f'accepted ticket {event.number} is gone')
-        if event.status is None and event.unchanged and is_kept:
-            found.append(f'refused ticket {event.number} was accepted')
-    return found
+        is_stored = content_by_number.get(event.number) == event.content
+        if event.status is TicketStatus.ACCEPTED and not is_stored:
+            violations.append(f'accepted ticket {event.number} is lost')
+        if event.status is None and event.unchanged and is_stored:
+            violations.append(
+                f'ticket {event.number} failed unchanged but is accepted'
+            )
+    return violations
 
 
-def _check_reads_go_forward(reads: Iterable[ReadEvent]) -> list[str]:
+def _check_monotonic_reads(reads: Iterable[ReadEvent]) -> list[str]:
     newest_by_reader: dict[str, int] = {}
-    found = []
+    violations = []
     for event in reads:
         newest = newest_by_reader.get(event.reader, 0)
         if event.number < newest:
-            found.append(
+            violations.append(
                 f'{event.reader} read ticket {event.number} after {newest}'
             )
         newest_by_reader[event.reader] = max(newest, event.number)
-    return found
+    return violations
 
 
-def _check_reads_are_recent(history: History) -> list[str]:
+def _check_linearizable_reads(history: History) -> list[str]:
     return [
         f'{read.reader} read ticket {read.number} after {ticket.number} '
         'was accepted'
--- a/tools/_measured_group.py
+++ b/tools/_local_control_group.py
@@ -1,4 +1,4 @@
-"""Control hosts as processes of their own, for measurements."""
+"""Runs the control hosts of a group as separate local processes."""
 
 from dataclasses import dataclass
 import json
@@ -18,52 +18,52 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What a process has used so far."""
+    """Resource usage of a process."""
 
-    # Processor time of all its threads, in seconds.
+    # Processor time of all threads since the start, in seconds.
     cpu_s: float
-    # Threads at the moment.
+    # Current number of threads.
     threads: int
-    # Resident memory at the moment.
+    # Current resident memory, in MiB.
     memory_mb: float
 
 
 @dataclass(frozen=True, slots=True)
-class MeasuredHost:
-    """One control host that runs."""
+class LocalControlHost:
+    """A running control host."""
 
     # The host's name.
     name: str
     # The process identifier.
     pid: int
-    # Where members dial.
+    # The port that members connect to.
     internal_port: int
-    # Where metrics are served.
+    # The port that serves metrics.
     http_port: int
 
 
-class MeasuredGroup:
-    """The processes of a group, started and stopped together."""
+class LocalControlGroup:
+    """A control group of local processes."""
 
-    def __init__(self, document_by_name: dict[str, Any]) -> None:
-        self._document_by_name = document_by_name
-        self._child_by_name: dict[str, subprocess.Popen[str]] = {}
-        self._host_by_name: dict[str, MeasuredHost] = {}
+    def __init__(self, settings_by_name: dict[str, Any]) -> None:
+        self._settings_by_name = settings_by_name
+        self._process_by_name: dict[str, subprocess.Popen[str]] = {}
+        self._host_by_name: dict[str, LocalControlHost] = {}
 
     @property
-    def hosts(self) -> list[MeasuredHost]:
-        """The hosts, in the order of their names."""
+    def hosts(self) -> list[LocalControlHost]:
+        """The hosts, in the order of their first start."""
         return list(self._host_by_name.values())
 
     @classmethod
     def start(
         cls, folder: str, hosts: int, added_sync_delay_ms: float
-    ) -> 'MeasuredGroup':
-        """Start hosts with their data in sub-folders."""
+    ) -> 'LocalControlGroup':
+        """Start the hosts, each with its data in a subfolder of `folder`."""
         port_by_name = {
             f'control-{number}': _free_port() for number in range(1, hosts + 1)
         }
-        listed = [
+        control_hosts = [
             {'name': name, 'host': '127.0.0.1', 'port': port}
             for name, port in port_by_name.items()
         ]
@@ -73,7 +73,7 @@
                     'role': 'control',
                     'name': name,
                     'listen': {'internal_port': port},
-                    'control_hosts': listed,
+                    'control_hosts': control_hosts,
                     'control': {
                         'data_folder': f'{folder}/{name}',
                         'added_sync_delay_ms': added_sync_delay_ms,
@@ -87,57 +87,57 @@
         return group
 
     def restart(self, name: str) -> None:
-        """Start a host that does not run, on its own data."""
-        child = _start_child(self._document_by_name[name])
-        assert child.stdout is not None
-        internal_port, http_port = json.loads(child.stdout.readline())
-        self._child_by_name[name] = child
-        self._host_by_name[name] = MeasuredHost(
-            name, child.pid, internal_port, http_port
+        """Start a host that isn't running, with its existing data."""
+        process = _start_process(self._settings_by_name[name])
+        assert process.stdout is not None
+        internal_port, http_port = json.loads(process.stdout.readline())
+        self._process_by_name[name] = process
+        self._host_by_name[name] = LocalControlHost(
+            name, process.pid, internal_port, http_port
         )
 
     def kill(self, name: str) -> None:
-        """End a host at once."""
-        child = self._child_by_name[name]
-        child.kill()
-        child.communicate()
+        """Kill a host and wait until it has ended."""
+        process = self._process_by_name[name]
+        process.kill()
+        process.communicate()
 
     def freeze(self, name: str) -> None:
-        """Hold a host up until it is thawed."""
-        self._child_by_name[name].send_signal(signal.SIGSTOP)
+        """Suspend a host by SIGSTOP until `thaw`."""
+        self._process_by_name[name].send_signal(signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen host go on."""
-        self._child_by_name[name].send_signal(signal.SIGCONT)
+        """Resume a suspended host by SIGCONT."""
+        self._process_by_name[name].send_signal(signal.SIGCONT)
 
     def stop(self) -> None:
-        """Stop all hosts as planned."""
-        for child in self._child_by_name.values():
-            if child.poll() is not None:
+        """Stop all running hosts cleanly; kill those that take too long."""
+        for process in self._process_by_name.values():
+            if process.poll() is not None:
                 continue
             try:
-                child.communicate('stop\n', timeout=_STOP_LIMIT_S)
+                process.communicate('stop\n', timeout=_STOP_LIMIT_S)
             except subprocess.TimeoutExpired:
-                child.kill()
-                child.communicate()
+                process.kill()
+                process.communicate()
 
 
 def process_usage(pid: int) -> ProcessUsage:
-    """Read what a process has used so far."""
+    """Read the resource usage of a process from /proc."""
     with open(f'/proc/{pid}/stat', encoding='ascii') as file:
         fields = file.read().rpartition(')')[2].split()
     with open(f'/proc/{pid}/statm', encoding='ascii') as file:
         resident_pages = int(file.read().split()[1])
-    ticks = int(fields[11]) + int(fields[12])
+    cpu_ticks = int(fields[11]) + int(fields[12])
     return ProcessUsage(
-        cpu_s=ticks / os.sysconf('SC_CLK_TCK'),
+        cpu_s=cpu_ticks / os.sysconf('SC_CLK_TCK'),
         threads=int(fields[17]),
         memory_mb=resident_pages * os.sysconf('SC_PAGE_SIZE') / 2**20,
     )
 
 
 def run_host(document: str) -> None:
-    """Be one host, until a line comes in."""
+    """Run one host until a line arrives on standard input."""
     settings = settings_from_document(
         json.loads(document), source='the command line'
     )
@@ -148,12 +148,12 @@
     host.stop()
 
 
-def _start_child(document: object) -> subprocess.Popen[str]:
+def _start_process(document: object) -> subprocess.Popen[str]:
     return subprocess.Popen(
         [
             sys.executable,
             '-m',
-            'tools._measured_group',
+            'tools._local_control_group',
             json.dumps(document),
         ],
         stdin=subprocess.PIPE,
--- a/tools/control_history.py
+++ b/tools/control_history.py
@@ -1,8 +1,9 @@
 """Runs a control group under random faults and checks its history.
 
-Three hosts as real processes are killed and restarted, or frozen and
-thawed, at random, while two entries claim the same jobs and two tools
-put tickets with the same numbers. Prints one line for each seed::
+Three control hosts run as separate processes. Random ones are killed and
+restarted, or frozen and thawed, while two entries claim the same jobs
+and two tools put tickets with the same numbers. Prints one line for each
+seed::
 
     python -m tools.control_history --seeds=50 --seconds=10
 """
@@ -37,23 +38,23 @@
 from tools._control_checker import History
 from tools._control_checker import ReadEvent
 from tools._control_checker import TicketEvent
-from tools._measured_group import MeasuredGroup
+from tools._local_control_group import LocalControlGroup
 
 _KEY: Final = 'quota/rowing'
 _HOSTS: Final = 3
-_HEAL_WAIT_S: Final = 30.0
+_RECOVERY_WAIT_S: Final = 30.0
 _CLAIM_PAUSE_S: Final = 0.01
 _TICKET_PAUSE_S: Final = 0.05
-_LONGEST_PAUSE_OF_FAULTS_S: Final = 1.0
-# Seconds after which a run ends even if nothing could be read.
-_LONGEST_RUN_S: Final = 60.0
+_MAX_FAULT_PAUSE_S: Final = 1.0
+# Seconds after which a run ends even if no read succeeded.
+_MAX_RUN_S: Final = 60.0
 
 
 class HistoryRun:
-    """One run with one seed."""
+    """A run of clients and faults, derived from one seed."""
 
     def __init__(self, seed: int, seconds: float) -> None:
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._seconds = seconds
         self._pool = ThreadPoolExecutor(128)
         self._stopping = threading.Event()
@@ -63,9 +64,9 @@
         self._reads: list[ReadEvent] = []
 
     def run(self) -> History:
-        """Run to the end and return what was seen."""
+        """Run to the end and return the recorded events."""
         with tempfile.TemporaryDirectory() as folder:
-            self._group = MeasuredGroup.start(folder, _HOSTS, 0.0)
+            self._group = LocalControlGroup.start(folder, _HOSTS, 0.0)
             try:
                 return self._run_on_group()
             finally:
@@ -75,28 +76,28 @@
                 self._pool.shutdown(wait=False)
 
     def _run_on_group(self) -> History:
-        self._client('agent', 'watcher', self._note_changes)
-        work: list[Callable[[], None]] = []
+        self._start_client('agent', 'watcher', self._record_changes)
+        loops: list[Callable[[], None]] = []
         for number in (1, 2):
-            entry = self._client('entry', f'entry-{number}')
-            tool = self._client('tool', f'tool-{number}')
-            reader = self._client('tool', f'reader-{number}')
-            work += [
+            entry = self._start_client('entry', f'entry-{number}')
+            tool = self._start_client('tool', f'tool-{number}')
+            reader = self._start_client('tool', f'reader-{number}')
+            loops += [
                 partial(self._claim_loop, entry, number),
                 partial(self._ticket_loop, tool, number),
                 partial(self._read_loop, reader, number),
             ]
-        tasks: list[Future[None]] = [self._pool.submit(each) for each in work]
+        tasks: list[Future[None]] = [self._pool.submit(loop) for loop in loops]
         self._inject_faults()
         self._stopping.set()
-        wait(tasks, _HEAL_WAIT_S)
+        wait(tasks, _RECOVERY_WAIT_S)
         for task in tasks:
             task.result(0)
         return History(
             self._claims, self._tickets, self._reads, self._read_final()
         )
 
-    def _client(
+    def _start_client(
         self,
         role: str,
         name: str,
@@ -120,34 +121,33 @@
         return client
 
     def _inject_faults(self) -> None:
-        chance = self._chance
+        rng = self._rng
         began_at = time.monotonic()
-        while self._goes_on(time.monotonic() - began_at):
-            time.sleep(chance.uniform(0.1, _LONGEST_PAUSE_OF_FAULTS_S))
-            victims = chance.sample(
-                self._group.hosts, chance.choice((1, 1, 1, 2))
-            )
-            is_kill = chance.random() < 0.5
-            for victim in victims:
+        while self._should_continue(time.monotonic() - began_at):
+            time.sleep(rng.uniform(0.1, _MAX_FAULT_PAUSE_S))
+            targets = rng.sample(self._group.hosts, rng.choice((1, 1, 1, 2)))
+            is_kill = rng.random() < 0.5
+            for target in targets:
                 if is_kill:
-                    self._group.kill(victim.name)
+                    self._group.kill(target.name)
                 else:
-                    self._group.freeze(victim.name)
-            time.sleep(chance.uniform(0.05, 2.0))
-            for victim in victims:
+                    self._group.freeze(target.name)
+            time.sleep(rng.uniform(0.05, 2.0))
+            for target in targets:
                 if is_kill:
-                    self._group.restart(victim.name)
+                    self._group.restart(target.name)
                 else:
-                    self._group.thaw(victim.name)
+                    self._group.thaw(target.name)
 
-    def _goes_on(self, after_s: float) -> bool:
-        """Tell whether to go on: a run that has read nothing shows nothing.
+    def _should_continue(self, elapsed_s: float) -> bool:
+        """Return whether to inject more faults.
 
-        On a busy machine the hosts may need long to come back.
+        A run without any successful read checks nothing, so it is
+        extended: on a busy machine hosts may need long to restart.
         """
-        if after_s < self._seconds:
+        if elapsed_s < self._seconds:
             return True
-        return not self._reads and after_s < _LONGEST_RUN_S
+        return not self._reads and elapsed_s < _MAX_RUN_S
 
     def _claim_loop(self, entry: ControlClient, number: int) -> None:
         job_number = 0
@@ -157,9 +157,9 @@
             claim = Claim(job, b'digest', number)
             name = f'entry-{number}'
             try:
-                found = entry.claim(claim).result(_HEAL_WAIT_S)
+                outcome = entry.claim(claim).result(_RECOVERY_WAIT_S)
                 event = ClaimEvent(
-                    job, name, number, found.status, found.owner
+                    job, name, number, outcome.status, outcome.owner
                 )
             except ControlUnavailableError as error:
                 event = ClaimEvent(
@@ -175,7 +175,9 @@
             value = 1000 * ticket + number
             content = {_KEY: {'tasks_per_second': value}}
             try:
-                outcome = tool.put_ticket(ticket, content).result(_HEAL_WAIT_S)
+                outcome = tool.put_ticket(ticket, content).result(
+                    _RECOVERY_WAIT_S
+                )
                 event = TicketEvent(
                     ticket, str(value), outcome.status, time.monotonic()
                 )
@@ -194,7 +196,7 @@
         while not self._stopping.is_set():
             began_at = time.monotonic()
             try:
-                page = reader.query('configuration').result(_HEAL_WAIT_S)
+                page = reader.query('configuration').result(_RECOVERY_WAIT_S)
             except ControlUnavailableError:
                 continue
             self._reads.append(
@@ -204,14 +206,14 @@
             )
             self._stopping.wait(_TICKET_PAUSE_S)
 
-    def _note_changes(self, changes: Changes) -> None:
+    def _record_changes(self, changes: Changes) -> None:
         for entry in changes.configuration:
             self._reads.append(
                 ReadEvent('watcher', entry.ticket, time.monotonic(), False)
             )
 
     def _read_final(self) -> FinalState:
-        tool = self._client('tool', 'tool-9')
+        tool = self._start_client('tool', 'tool-9')
         page = self._retry(partial(tool.query, 'tickets'))
         lookups = {
             event.job: self._retry(partial(tool.lookup, Claim(event.job, b'')))
@@ -227,24 +229,24 @@
             },
         )
 
-    def _retry(self, ask: Callable[[], Future[Any]]) -> Any:
-        """Ask until the group has healed."""
-        deadline = time.monotonic() + _HEAL_WAIT_S
+    def _retry(self, send_request: Callable[[], Future[Any]]) -> Any:
+        """Repeat a request until the group is available again."""
+        deadline = time.monotonic() + _RECOVERY_WAIT_S
         while True:
             try:
-                return ask().result(_HEAL_WAIT_S)
+                return send_request().result(_RECOVERY_WAIT_S)
             except ControlUnavailableError:
                 if time.monotonic() > deadline:
                     raise
 
 
 def main(seeds: int = 5, seconds: float = 10.0, first_seed: int = 1) -> None:
-    """Run seeds one after the other; fail if a promise was broken."""
-    broken = 0
+    """Run the seeds in sequence; exit with 1 if a guarantee is violated."""
+    failed_seeds = 0
     for seed in range(first_seed, first_seed + seeds):
         history = HistoryRun(seed, seconds).run()
-        problems = check(history)
-        broken += bool(problems)
+        violations = check(history)
+        failed_seeds += bool(violations)
         line = {
             'seed': seed,
             'claims': len(history.claims),
@@ -253,11 +255,11 @@
             'failed_claims': sum(
                 event.status is None for event in history.claims
             ),
-            'problems': problems[:5],
+            'problems': violations[:5],
         }
         print(json.dumps(line), flush=True)
-    print(f'{seeds - broken} of {seeds} seeds held')
-    if broken:
+    print(f'{seeds - failed_seeds} of {seeds} seeds held')
+    if failed_seeds:
         raise SystemExit(1)
 
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,8 +1,8 @@
-"""`make demo`: one process, a few jobs, every answer and a time line.
+"""Demonstrates a standalone process, a few jobs and a timeline.
 
-Starts `baobabgapd --role standalone` on a free port, uses the
-command-line tool as an operator and a caller would, and stops the
-process with SIGTERM. Whatever happens, nothing is left running.
+`make demo` runs it. It starts `baobabgapd --role standalone` on a free
+port, uses the command-line tool as an operator and a caller would, and
+stops the process with SIGTERM. The process is killed after an error.
 """
 
 from collections.abc import Iterator
@@ -26,7 +26,7 @@
 
 
 class DemoError(Exception):
-    """A step of the demonstration that went wrong."""
+    """Raised if a step of the demonstration fails."""
 
 
 def main() -> int:
@@ -35,7 +35,7 @@
         folder = Path(name)
         try:
             with _standalone(folder) as address:
-                _show(folder, address)
+                _run_scenario(folder, address)
         except DemoError as error:
             print(f'demo: {error}', file=sys.stderr)
             return 1
@@ -43,39 +43,47 @@
     return 0
 
 
-def _show(folder: Path, address: str) -> None:
-    """Put the ticket, submit the jobs, and show one job's time line."""
-    log = str(folder / 'log')
+def _run_scenario(folder: Path, address: str) -> None:
+    """Put a ticket, submit jobs and show the slowest job's timeline."""
+    log_file = str(folder / 'log')
     entries = f'--entries={address}'
-    _run('ticket', 'put', 'examples/ticket.yaml', '--number=1', entries)
-    _run('submit', 'examples/jobs.yaml', entries)
-    summaries = _run('timeline', log, '--json', quiet=True).splitlines()
-    slowest = json.loads(summaries[0])['job']
+    _run_tool('ticket', 'put', 'examples/ticket.yaml', '--number=1', entries)
+    _run_tool('submit', 'examples/jobs.yaml', entries)
+    summaries = _run_tool(
+        'timeline', log_file, '--json', quiet=True
+    ).splitlines()
+    slowest_job = json.loads(summaries[0])['job']
     print('The slowest of them, over all roles:', flush=True)
-    _run('timeline', slowest, log)
+    _run_tool('timeline', slowest_job, log_file)
 
 
-def _run(*arguments: str, quiet: bool = False) -> str:
-    """Run the tool, show its output, and return it."""
+def _run_tool(*arguments: str, quiet: bool = False) -> str:
+    """Run the command-line tool, print its output and return it.
+
+    Raises `DemoError` if the tool fails.
+    """
     if not quiet:
         print(f'$ baobabgap {" ".join(arguments)}', flush=True)
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-m', 'baobabgap.tool', *arguments],
         stdout=subprocess.PIPE,
         text=True,
         timeout=_COMMAND_LIMIT_S,
     )
     if not quiet:
-        print(ended.stdout, flush=True)
-    if ended.returncode != 0:
-        raise DemoError(f'{arguments[0]} ended with {ended.returncode}')
-    return ended.stdout
+        print(completed.stdout, flush=True)
+    if completed.returncode != 0:
+        raise DemoError(
+            f'baobabgap {arguments[0]} exited with status '
+            f'{completed.returncode}'
+        )
+    return completed.stdout
 
 
 @contextmanager
 def _standalone(folder: Path) -> Iterator[str]:
-    """Run the daemon, yield its address, and stop it by SIGTERM."""
-    log = folder / 'log'
+    """Run the daemon, yield its HTTP address and stop it by SIGTERM."""
+    log_file = folder / 'log'
     print('$ baobabgapd --role standalone', flush=True)
     process = subprocess.Popen(
         [
@@ -84,12 +92,12 @@
             'baobabgap.daemon',
             '--role=standalone',
             '--http-port=0',
-            f'--log-file={log}',
+            f'--log-file={log_file}',
             f'--data-folder={folder / "data"}',
         ]
     )
     try:
-        yield _wait_until_ready(process, log)
+        yield _wait_until_ready(process, log_file)
         process.terminate()
         status = process.wait(_STOP_LIMIT_S)
     except subprocess.TimeoutExpired as error:
@@ -98,27 +106,29 @@
         process.kill()
         process.wait()
     if status != 0:
-        raise DemoError(f'the daemon ended with {status}')
+        raise DemoError(f'the daemon exited with status {status}')
 
 
-def _wait_until_ready(process: subprocess.Popen[bytes], log: Path) -> str:
-    """Return the entry's address once it is ready for jobs."""
-    give_up_at = time.monotonic() + _START_LIMIT_S
-    while time.monotonic() < give_up_at:
+def _wait_until_ready(process: subprocess.Popen[bytes], log_file: Path) -> str:
+    """Return the entry's HTTP address once it is ready for jobs."""
+    deadline = time.monotonic() + _START_LIMIT_S
+    while time.monotonic() < deadline:
         if process.poll() is not None:
-            raise DemoError(f'the daemon ended with {process.returncode}')
-        address = _find_address(log)
+            raise DemoError(
+                f'the daemon exited with status {process.returncode}'
+            )
+        address = _find_address(log_file)
         if address and _is_ready(address):
             return address
         time.sleep(_POLL_PAUSE_S)
     raise DemoError(f'the daemon is not ready after {_START_LIMIT_S} s')
 
 
-def _find_address(log: Path) -> str:
-    """Read the port, which was chosen freely, from the log."""
-    if not log.exists():
+def _find_address(log_file: Path) -> str:
+    """Read the port from the log, or return empty if it isn't there yet."""
+    if not log_file.exists():
         return ''
-    for record in read_records([log], containing=['entry_started']):
+    for record in read_records([log_file], containing=['entry_started']):
         return f'127.0.0.1:{record.field_by_name["http_port"]}'
     return ''
 
--- a/tools/deployment_plan.py
+++ b/tools/deployment_plan.py
@@ -1,4 +1,4 @@
-"""Describes a local deployment and the settings of its processes."""
+"""Plans a local deployment: its processes, ports and settings."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -9,8 +9,8 @@
 from typing import Final
 
 _HOST: Final = '127.0.0.1'
-# Below the range that the kernel picks from, so that no outgoing
-# connection takes a port between its choice and its use.
+# Below the kernel's ephemeral port range, so that no outgoing connection
+# takes a port between its selection and its use.
 _LOWEST_PORT: Final = 15_000
 _HIGHEST_PORT: Final = 32_000
 _ZONES: Final = ('catania', 'palermo', 'agrigento')
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedProcess:
-    """One process and its settings, as they are written to YAML."""
+    """A process and its settings, in the form that is written to YAML."""
 
     name: str
     role: str
@@ -29,30 +29,30 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentPlan:
-    """How many processes of each role, and how they are set."""
+    """The number of processes of each role, and their settings."""
 
     control_hosts: int = 3
     entries: int = 2
-    # Each with its own stand-in upstream.
+    # Each agent has its own stand-in upstream.
     agents: int = 11
     slots: int = 8
     added_sync_delay_ms: float = 4.0
-    # Merged into the `entry`, `agent`, ... sections of each process.
+    # Merged into the section of the same name in each process's settings.
     extra_settings: dict[str, dict[str, Any]] = field(default_factory=dict)
 
     def processes(self, folder: Path) -> list[PlannedProcess]:
-        """Choose free ports and write down all settings.
+        """Return the processes with their settings, on free ports.
 
         Control hosts come first, then entries, agents and stand-ins.
         """
-        ports = _Ports()
+        ports = _PortAllocator()
         control_hosts: list[dict[str, Any]] = [
-            {'name': f'control-{n}', 'host': _HOST, 'port': ports.take()}
-            for n in _numbers(self.control_hosts)
+            {'name': f'control-{n}', 'host': _HOST, 'port': ports.allocate()}
+            for n in _one_to(self.control_hosts)
         ]
         planned = []
         for n, host in zip(
-            _numbers(self.control_hosts), control_hosts, strict=True
+            _one_to(self.control_hosts), control_hosts, strict=True
         ):
             control = {
                 'data_folder': str(folder / f'control-{n}'),
@@ -62,26 +62,26 @@
                 self._process(
                     'control',
                     n,
-                    ports.take(),
+                    ports.allocate(),
                     internal_port=host['port'],
                     control_hosts=control_hosts,
                     control=control,
                 )
             )
-        for n in _numbers(self.entries):
+        for n in _one_to(self.entries):
             planned.append(
                 self._process(
                     'entry',
                     n,
-                    ports.take(),
-                    internal_port=ports.take(),
+                    ports.allocate(),
+                    internal_port=ports.allocate(),
                     control_hosts=control_hosts,
                 )
             )
         stand_ins = []
-        for n in _numbers(self.agents):
+        for n in _one_to(self.agents):
             agent = self._process(
-                'agent', n, ports.take(), control_hosts=control_hosts
+                'agent', n, ports.allocate(), control_hosts=control_hosts
             )
             stand_in = {
                 'agent_address': agent.http_address,
@@ -90,7 +90,9 @@
             }
             planned.append(agent)
             stand_ins.append(
-                self._process('stand-in', n, ports.take(), stand_in=stand_in)
+                self._process(
+                    'stand-in', n, ports.allocate(), stand_in=stand_in
+                )
             )
         return planned + stand_ins
 
@@ -123,31 +125,31 @@
         return PlannedProcess(name, role, f'{_HOST}:{http_port}', settings)
 
 
-class _Ports:
-    """Hands out ports that were free when asked for, each once."""
+class _PortAllocator:
+    """Allocates ports that are free at the time, each once."""
 
     def __init__(self) -> None:
-        self._chance = random.SystemRandom()
-        self._taken: set[int] = set()
+        self._rng = random.SystemRandom()
+        self._allocated: set[int] = set()
 
-    def take(self) -> int:
-        """Return a free port."""
+    def allocate(self) -> int:
+        """Return a free port that wasn't returned before."""
         while True:
-            port = self._chance.randrange(_LOWEST_PORT, _HIGHEST_PORT)
-            if port in self._taken or not _is_free(port):
+            port = self._rng.randrange(_LOWEST_PORT, _HIGHEST_PORT)
+            if port in self._allocated or not _is_free(port):
                 continue
-            self._taken.add(port)
+            self._allocated.add(port)
             return port
 
 
 def _is_free(port: int) -> bool:
-    with socket.socket() as probe:
+    with socket.socket() as listener:
         try:
-            probe.bind((_HOST, port))
+            listener.bind((_HOST, port))
         except OSError:
             return False
     return True
 
 
-def _numbers(count: int) -> range:
+def _one_to(count: int) -> range:
     return range(1, count + 1)
--- a/tools/launcher.py
+++ b/tools/launcher.py
@@ -1,7 +1,7 @@
-"""Starts, watches and ends real daemon processes, for tests and the bench.
+"""Starts, monitors and stops daemon processes for tests and benchmarks.
 
-Use a launcher as a context manager: whatever happens inside, all that it
-started is ended, by process id::
+A launcher is a context manager. On exit, also after an error, it kills
+all processes that it started, by process id::
 
     with Launcher.from_plan(DeploymentPlan(agents=4)) as launcher:
         launcher.start_all()
@@ -34,7 +34,7 @@
 _DAEMON: Final = (sys.executable, '-m', 'baobabgap.daemon')
 _ROOT: Final = Path(__file__).resolve().parent.parent
 _READY_PATH: Final = '/ready'
-# Stand-ins have no path of their own for it.
+# Stand-ins have no readiness path.
 _READY_PATH_BY_ROLE: Final = {'stand-in': '/stand-in/counts'}
 _READY_LIMIT_S: Final = 30.0
 _STOP_LIMIT_S: Final = 10.0
@@ -43,16 +43,16 @@
 
 
 class LaunchError(Exception):
-    """A process that did not start, become ready or end in time."""
+    """Raised if a process doesn't start, become ready or stop in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What a process has used so far."""
+    """Resource usage of a process."""
 
-    # Seconds of processor time, user and system together.
+    # User and system processor time since the start, in seconds.
     processor_s: float
-    # Resident memory now, in bytes.
+    # Current resident memory, in bytes.
     resident_bytes: int
 
 
@@ -76,7 +76,7 @@
     def from_plan(
         cls, plan: DeploymentPlan, command: Sequence[str] = _DAEMON
     ) -> Self:
-        """Make a temporary folder for the settings, state and logs."""
+        """Build a launcher with a temporary folder for settings and state."""
         folder = Path(tempfile.mkdtemp(prefix='baobabgap-'))
         return cls(plan.processes(folder), folder, command)
 
@@ -88,16 +88,16 @@
 
     @property
     def folder(self) -> Path:
-        """Where settings, state and logs of the processes are."""
+        """The folder with settings, state and logs of the processes."""
         return self._folder
 
     @property
     def names(self) -> tuple[str, ...]:
-        """The names of all planned processes, in order of start."""
+        """The names of all planned processes, in start order."""
         return tuple(self._planned_by_name)
 
     def names_with_role(self, role: str) -> tuple[str, ...]:
-        """The names of the planned processes of one role."""
+        """Return the names of the planned processes of one role."""
         return tuple(
             planned.name
             for planned in self._planned_by_name.values()
@@ -105,11 +105,11 @@
         )
 
     def http_address(self, name: str) -> str:
-        """Where the process listens for HTTP, as host:port."""
+        """Return the HTTP address of a process, as host:port."""
         return self._planned_by_name[name].http_address
 
     def pid(self, name: str) -> int:
-        """The process id of a running process."""
+        """Return the process id of a running process."""
         return self._running_by_name[name].pid
 
     def write_settings(self) -> None:
@@ -119,7 +119,7 @@
             self._settings_file(name).write_text(text)
 
     def is_running(self, name: str) -> bool:
-        """Tell whether the process was started and has not been ended."""
+        """Return whether the process was started and not ended since."""
         return name in self._running_by_name
 
     def start_all(self) -> None:
@@ -129,7 +129,7 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start one process that isn't running; its settings are there."""
+        """Start a process that isn't running, by its settings file."""
         settings_file = self._settings_file(name)
         output = self._folder / f'{name}.out'
         with output.open('ab') as stream:
@@ -146,18 +146,24 @@
         names: Sequence[str] | None = None,
         limit_s: float = _READY_LIMIT_S,
     ) -> None:
-        """Wait until these processes, or all, say that they are."""
-        give_up_at = time.monotonic() + limit_s
+        """Wait until these processes, or all, are ready.
+
+        Raises `LaunchError` if one exits or isn't ready in time.
+        """
+        deadline = time.monotonic() + limit_s
         for name in self.names if names is None else names:
             while not self.is_ready(name):
                 if self._running_by_name[name].poll() is not None:
-                    raise LaunchError(f'{name} ended: {self.output(name)}')
-                if time.monotonic() > give_up_at:
+                    raise LaunchError(
+                        f'{name} exited before it was ready: '
+                        f'{self.output(name)}'
+                    )
+                if time.monotonic() > deadline:
                     raise LaunchError(f'{name} is not ready after {limit_s} s')
                 time.sleep(_POLL_PAUSE_S)
 
     def is_ready(self, name: str) -> bool:
-        """Ask the process once whether it is ready."""
+        """Return whether the process responds that it is ready."""
         role = self._planned_by_name[name].role
         path = _READY_PATH_BY_ROLE.get(role, _READY_PATH)
         client = WebClient(self.http_address(name))
@@ -170,59 +176,64 @@
         return answer.status == 200
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one process that this launcher started."""
+        """Send a signal to a process that this launcher started."""
         self._running_by_name[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End one process at once, without any chance to clean up."""
+        """Kill a process by SIGKILL and wait until it has ended."""
         process = self._running_by_name.pop(name)
         process.kill()
         process.wait()
 
     def stop(self, name: str, limit_s: float = _STOP_LIMIT_S) -> int:
-        """Ask one process to stop, wait, and return its exit status."""
+        """Stop a process by SIGTERM and return its exit status.
+
+        Raises `LaunchError` if it still runs after the limit.
+        """
         process = self._running_by_name[name]
         process.terminate()
         try:
             status = process.wait(limit_s)
         except subprocess.TimeoutExpired as error:
-            raise LaunchError(f'{name} runs on after {limit_s} s') from error
+            raise LaunchError(
+                f'{name} still runs {limit_s} s after SIGTERM'
+            ) from error
         del self._running_by_name[name]
         return status
 
     def freeze(self, name: str) -> None:
-        """Stop one process from running until it is thawed."""
+        """Suspend a process by SIGSTOP until `thaw`."""
         self.send_signal(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process run on."""
+        """Resume a suspended process by SIGCONT."""
         self.send_signal(name, signal.SIGCONT)
 
     def restart(self, name: str) -> None:
-        """Kill the process if it runs, and start it with its old settings."""
+        """Kill the process if it runs, and start it with the same settings."""
         if name in self._running_by_name:
             self.kill(name)
         self.start(name)
 
     def usage(self, name: str) -> ProcessUsage:
-        """Read what a running process has used so far."""
+        """Read the resource usage of a running process from /proc."""
         folder = Path('/proc') / str(self.pid(name))
         # The command's name, in brackets, may hold spaces.
         fields = (folder / 'stat').read_text().rpartition(')')[2].split()
-        ticks = int(fields[11]) + int(fields[12])
-        resident = _status_field(folder / 'status', 'VmRSS')
-        return ProcessUsage(ticks / _TICKS_PER_SECOND, resident * 1024)
+        cpu_ticks = int(fields[11]) + int(fields[12])
+        resident_kib = _status_field(folder / 'status', 'VmRSS')
+        return ProcessUsage(cpu_ticks / _TICKS_PER_SECOND, resident_kib * 1024)
 
-    def output(self, name: str, longest: int = 2000) -> str:
-        """The end of what the process printed."""
+    def output(self, name: str, max_characters: int = 2000) -> str:
+        """Return the last characters that the process printed."""
         path = self._folder / f'{name}.out'
-        return path.read_text(errors='replace')[-longest:]
+        return path.read_text(errors='replace')[-max_characters:]
 
     def _settings_file(self, name: str) -> Path:
         return self._folder / f'{name}.yaml'
 
     def close(self) -> None:
-        """End all that still runs and remove the folder."""
+        """Kill all running processes and remove the folder."""
         processes = list(self._running_by_name.values())
         self._running_by_name.clear()
         for process in processes:
--- a/tools/measure_http.py
+++ b/tools/measure_http.py
@@ -1,13 +1,13 @@
-"""Measures werkzeug's own threaded server against cheroot.
+"""Compares cheroot with werkzeug's threaded server.
 
-Each server answers requests that wait, as a job does, and requests that
-don't. The client runs in a process of its own::
+Each server answers requests that wait, as those for a job do, and
+requests that don't. The client runs in a separate process::
 
     python -m tools.measure_http
 
-It prints one JSON line for each server and load: milliseconds beyond the
-wait at the median and the 99th percentile, requests a second, errors,
-and the threads and memory of the server while all requests waited.
+Prints one JSON line for each server and wait: the response time beyond
+the wait in milliseconds (median and 99th percentile), requests per
+second, errors, and the server's peak thread count and its memory then.
 """
 
 from collections.abc import Callable
@@ -36,11 +36,11 @@
 _THREADS: Final = 288
 _LARGEST_BODY_BYTES: Final = 1_000_000
 _WAITS_MS: Final = (500, 0)
-_JOB: Final = json.dumps({'tasks': [{'identifier': 't'}] * 8}).encode()
+_BODY: Final = json.dumps({'tasks': [{'identifier': 't'}] * 8}).encode()
 
 
 class _WaitingApplication:
-    """Reads the body, waits as long as the path says, and answers."""
+    """A WSGI application that waits for the milliseconds in the path."""
 
     def __init__(self) -> None:
         self.peak_threads = 0
@@ -56,16 +56,21 @@
             self.peak_threads = threading.active_count()
             self.peak_memory_mb = _resident_mb()
         time.sleep(wait_ms / 1000)
-        response = Response(_JOB, mimetype='application/json')
+        response = Response(_BODY, mimetype='application/json')
         return response(environ, start_response)
 
 
 def main() -> None:
-    """Measure both servers and print the lines."""
-    for name, serve in (('cheroot', _cheroot), ('werkzeug', _werkzeug)):
+    """Measure both servers and print the results."""
+    for name, serve in (
+        ('cheroot', _serve_cheroot),
+        ('werkzeug', _serve_werkzeug),
+    ):
         for wait_ms in _WAITS_MS:
             context = multiprocessing.get_context('spawn')
-            process = context.Process(target=_measure, args=(serve, wait_ms))
+            process = context.Process(
+                target=_measure_server, args=(serve, wait_ms)
+            )
             print(json.dumps({'server': name, 'wait_ms': wait_ms}), end=' ')
             print(flush=True)
             process.start()
@@ -73,54 +78,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Serving:
+class _RunningServer:
     """A running server."""
 
-    # The port that it listens on.
+    # The port that the server listens on.
     port: int
-    # Ends it.
+    # Stops the server.
     stop: Callable[[], None]
 
 
-def _cheroot(application: Any) -> _Serving:
+def _serve_cheroot(application: Any) -> _RunningServer:
     server = WebServer(
         '127.0.0.1', 0, application, _THREADS, _LARGEST_BODY_BYTES
     )
     server.start(ThreadPoolExecutor(1))
-    return _Serving(server.port, server.stop)
+    return _RunningServer(server.port, server.stop)
 
 
-def _werkzeug(application: Any) -> _Serving:
+def _serve_werkzeug(application: Any) -> _RunningServer:
     logging.getLogger('werkzeug').setLevel(logging.ERROR)
     server = make_server('127.0.0.1', 0, application, threaded=True)
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    return _Serving(server.port, server.shutdown)
+    return _RunningServer(server.port, server.shutdown)
 
 
-def _measure(serve: Callable[[Any], _Serving], wait_ms: int) -> None:
-    """Serve in this process, and run the client in another."""
+def _measure_server(
+    serve: Callable[[Any], _RunningServer], wait_ms: int
+) -> None:
+    """Serve in this process, run the client in another and print a line."""
     application = _WaitingApplication()
-    serving = serve(application)
+    server = serve(application)
     context = multiprocessing.get_context('spawn')
-    here, there = context.Pipe()
+    parent_pipe, child_pipe = context.Pipe()
     client = context.Process(
-        target=_run_client, args=(serving.port, wait_ms, there)
+        target=_run_client, args=(server.port, wait_ms, child_pipe)
     )
     client.start()
-    line: dict[str, Any] = here.recv()
+    line: dict[str, Any] = parent_pipe.recv()
     client.join()
-    serving.stop()
+    server.stop()
     line['threads'] = application.peak_threads
     line['memory_mb'] = application.peak_memory_mb
     print(json.dumps(line), flush=True)
 
 
 def _run_client(port: int, wait_ms: int, pipe: Any) -> None:
-    """Send some rounds of requests, all connections at once."""
+    """Send rounds of concurrent requests, one on each connection."""
     handles = [_new_handle(port, wait_ms) for _ in range(_CONNECTIONS)]
     multi = pycurl.CurlMulti()
     multi.setopt(pycurl.M_MAXCONNECTS, 2 * _CONNECTIONS)
-    beyond_ms: list[float] = []
+    overheads_ms: list[float] = []
     errors = 0
     started = time.monotonic()
     for _ in range(_ROUNDS):
@@ -129,13 +136,13 @@
         for handle in handles:
             if handle not in failed:
                 total_ms = handle.getinfo(pycurl.TOTAL_TIME) * 1000
-                beyond_ms.append(total_ms - wait_ms)
-    took_s = time.monotonic() - started
-    beyond_ms.sort()
+                overheads_ms.append(total_ms - wait_ms)
+    elapsed_s = time.monotonic() - started
+    overheads_ms.sort()
     line = {
-        'median_ms': round(beyond_ms[len(beyond_ms) // 2], 1),
-        'p99_ms': round(beyond_ms[len(beyond_ms) * 99 // 100], 1),
-        'per_second': round(len(beyond_ms) / took_s),
+        'median_ms': round(overheads_ms[len(overheads_ms) // 2], 1),
+        'p99_ms': round(overheads_ms[len(overheads_ms) * 99 // 100], 1),
+        'per_second': round(len(overheads_ms) / elapsed_s),
         'errors': errors,
     }
     pipe.send(line)
@@ -145,7 +152,7 @@
     handle = pycurl.Curl()
     handle.setopt(pycurl.URL, f'http://127.0.0.1:{port}/{wait_ms}')
     handle.setopt(pycurl.NOPROXY, '*')
-    handle.setopt(pycurl.POSTFIELDS, _JOB)
+    handle.setopt(pycurl.POSTFIELDS, _BODY)
     handle.setopt(pycurl.TIMEOUT_MS, 20_000)
     return handle
 
@@ -153,7 +160,7 @@
 def _run_round(
     multi: pycurl.CurlMulti, handles: list[pycurl.Curl]
 ) -> list[pycurl.Curl]:
-    """Send one request on each handle at once; return the failed ones."""
+    """Send one request on each handle concurrently; return failed handles."""
     for handle in handles:
         handle.setopt(pycurl.WRITEDATA, BytesIO())
         multi.add_handle(handle)
--- a/tools/plot_slopes.py
+++ b/tools/plot_slopes.py
@@ -1,8 +1,8 @@
-"""Draws the lines that `make slopes` printed, one picture for all.
+"""Plots the JSON lines of `make slopes` into one picture::
 
     python -m tools.plot_slopes docs/slopes.jsonl docs/slopes.png
 
-Needs matplotlib, which is an optional dependency.
+Requires matplotlib, an optional dependency.
 """
 
 from collections.abc import Sequence
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Curve:
-    """One panel: which lines, and what is drawn over what."""
+    """A panel of the picture and the keys that it plots."""
 
     title: str
-    # The key that only this panel's lines have, drawn to the right.
+    # The key on the x axis, which selects the lines.
     size_key: str
-    # The key drawn upwards.
+    # The key on the y axis.
     value_key: str
-    # The limit of the target at full size, or None.
+    # The target limit at full size, drawn as a dashed line, or None.
     limit: float | None = None
 
 
@@ -42,33 +42,35 @@
 
 
 def main(source: str, picture: str) -> None:
-    """Read JSON lines from `source` and draw them into `picture`."""
+    """Read JSON lines from `source` and save the plots to `picture`."""
     lines = [
         json.loads(line)
         for line in Path(source).read_text(encoding='utf-8').splitlines()
         if line.startswith('{')
     ]
     pyplot.switch_backend('Agg')
-    figure, panels = pyplot.subplots(2, 3, figsize=(12, 7))
-    for curve, panel in zip(CURVES, panels.flat, strict=True):
-        _draw(panel, curve, lines)
+    figure, axes_grid = pyplot.subplots(2, 3, figsize=(12, 7))
+    for curve, axes in zip(CURVES, axes_grid.flat, strict=True):
+        _plot_curve(axes, curve, lines)
     figure.tight_layout()
     figure.savefig(picture, dpi=90)
 
 
-def _draw(panel: Any, curve: Curve, lines: Sequence[dict[str, Any]]) -> None:
+def _plot_curve(
+    axes: Any, curve: Curve, lines: Sequence[dict[str, Any]]
+) -> None:
     points = sorted(
         (line[curve.size_key], line[curve.value_key])
         for line in lines
         if curve.size_key in line and curve.value_key in line
     )
     if points:
-        panel.plot(*zip(*points, strict=True), marker='o')
+        axes.plot(*zip(*points, strict=True), marker='o')
     if curve.limit is not None:
-        panel.axhline(curve.limit, linestyle='--', color='grey')
-    panel.set_title(curve.title)
-    panel.set_xlabel(curve.size_key)
-    panel.set_ylim(bottom=0)
+        axes.axhline(curve.limit, linestyle='--', color='grey')
+    axes.set_title(curve.title)
+    axes.set_xlabel(curve.size_key)
+    axes.set_ylim(bottom=0)
 
 
 if __name__ == '__main__':
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,7 +1,8 @@
-"""Runs all tests; failures named in KNOWN-RED.txt are printed, not fatal.
+"""Runs the tests; failures listed in KNOWN-RED.txt aren't fatal.
 
 An entry of KNOWN-RED.txt begins with `test: ` and the test's full name.
-A listed test that passes is reported too, so that its entry goes.
+Listed tests that fail are printed. A run of all tests also prints listed
+tests that no longer fail, so that their entries can be removed.
 """
 
 import faulthandler
@@ -11,9 +12,9 @@
 from typing import Final
 import unittest
 
-_KNOWN_RED: Final = Path('KNOWN-RED.txt')
-# Folders with tests, each with the folder that its packages lie in.
-_ROOTS: Final = (
+_KNOWN_FAILURES_FILE: Final = Path('KNOWN-RED.txt')
+# Folders with tests, each with its top-level package directory.
+_TEST_ROOTS: Final = (
     ('baobabgap', '.'),
     ('tools', '.'),
     ('platform/baobabgap_platform', 'platform'),
@@ -26,16 +27,19 @@
     faulthandler.dump_traceback_later(_WHOLE_RUN_LIMIT_S, exit=True)
     names = sys.argv[1:]
     result = unittest.TextTestRunner(verbosity=1).run(_collect(names))
-    known = _read_known_red()
-    bad = {test.id(): trace for test, trace in result.failures + result.errors}
-    new = sorted(set(bad) - known)
-    for name in sorted(set(bad) & known):
+    known_failures = _read_known_failures()
+    failures = {
+        test.id(): traceback
+        for test, traceback in result.failures + result.errors
+    }
+    new_failures = sorted(set(failures) - known_failures)
+    for name in sorted(set(failures) & known_failures):
         print(f'KNOWN RED: {name}')
-    for name in sorted(known - set(bad)) if not names else []:
-        print(f'listed in {_KNOWN_RED} but not failing: {name}')
-    passed = result.testsRun - len(bad)
-    print(f'{passed} passed, {len(new)} failed')
-    return 1 if new or result.testsRun == 0 else 0
+    for name in sorted(known_failures - set(failures)) if not names else []:
+        print(f'listed in {_KNOWN_FAILURES_FILE} but not failing: {name}')
+    passed = result.testsRun - len(failures)
+    print(f'{passed} passed, {len(new_failures)} failed')
+    return 1 if new_failures or result.testsRun == 0 else 0
 
 
 def _collect(names: list[str]) -> unittest.TestSuite:
@@ -43,17 +47,17 @@
     if names:
         return loader.loadTestsFromNames(names)
     suite = unittest.TestSuite()
-    for root, top_level in _ROOTS:
+    for root, top_level in _TEST_ROOTS:
         suite.addTests(
             loader.discover(root, pattern='test_*.py', top_level_dir=top_level)
         )
     return suite
 
 
-def _read_known_red() -> set[str]:
-    if not _KNOWN_RED.exists():
+def _read_known_failures() -> set[str]:
+    if not _KNOWN_FAILURES_FILE.exists():
         return set()
-    lines = _KNOWN_RED.read_text(encoding='utf-8').splitlines()
+    lines = _KNOWN_FAILURES_FILE.read_text(encoding='utf-8').splitlines()
     return {
         line.removeprefix('test:').strip()
         for line in lines
@@ -65,5 +69,5 @@
     status = main()
     sys.stdout.flush()
     sys.stderr.flush()
-    # A failed test may leave tasks behind that would never end.
+    # Threads that a failed test left running would block a normal exit.
     os._exit(status)
--- a/tools/slopes_claims.py
+++ b/tools/slopes_claims.py
@@ -1,8 +1,8 @@
-"""What a claim costs the control group, as slopes over the batch size.
+"""Measures the cost of claims at the control group by batch size.
 
-Starts three control hosts as processes of their own and claims jobs on
-one link to the leader, four requests on the way at once, as the members'
-client does. Prints one JSON line for each batch size::
+Starts three control hosts as separate processes and claims jobs over one
+link to the leader with four requests in flight, as the members' client
+does. Prints one JSON line for each batch size::
 
     python -m tools.slopes_claims --sync-delay-ms=4
 """
@@ -26,20 +26,20 @@
 from baobabgap.transport import Connection
 from baobabgap.transport import dial
 from baobabgap.transport import LinkTiming
-from tools._measured_group import MeasuredGroup
-from tools._measured_group import process_usage
+from tools._local_control_group import LocalControlGroup
+from tools._local_control_group import process_usage
 
 _BATCH_SIZES: Final = (1, 8, 64, 512)
-_REQUESTS_ON_THE_WAY: Final = 4
+_REQUESTS_IN_FLIGHT: Final = 4
 _SAMPLE_S: Final = 5.0
-_FIRST_ISSUED_MS: Final = 1_764_800_000_000
+_FIRST_ISSUE_MS: Final = 1_764_800_000_000
 _CLIENTS: Final = 40
 
 
 def main(sync_delay_ms: float = 4.0) -> None:
-    """Measure at each batch size; the delay is added to each sync."""
+    """Measure each batch size; the delay is added to each disk sync."""
     with tempfile.TemporaryDirectory() as folder:
-        group = MeasuredGroup.start(folder, 3, sync_delay_ms)
+        group = LocalControlGroup.start(folder, 3, sync_delay_ms)
         try:
             with ThreadPoolExecutor(8) as pool:
                 _measure(group, pool, sync_delay_ms)
@@ -48,27 +48,27 @@
 
 
 def _measure(
-    group: MeasuredGroup, pool: ThreadPoolExecutor, sync_delay_ms: float
+    group: LocalControlGroup, pool: ThreadPoolExecutor, sync_delay_ms: float
 ) -> None:
     link, leader = _dial_leader(group, pool)
     messages = link.messages()
-    numbers = count(1)
+    sequence = count(1)
     for batch in _BATCH_SIZES:
         before = [process_usage(host.pid) for host in group.hosts]
-        figures = _claim_for_a_while(link, messages, batch, numbers)
+        results = _measure_claims(link, messages, batch, sequence)
         after = [process_usage(host.pid) for host in group.hosts]
         cpu_us_by_host = {
             host.name: round(
-                1e6 * (end.cpu_s - begin.cpu_s) / figures['claims'], 1
+                1e6 * (end.cpu_s - start.cpu_s) / results['claims'], 1
             )
-            for host, begin, end in zip(
+            for host, start, end in zip(
                 group.hosts, before, after, strict=True
             )
         }
         line = {
             'batch': batch,
             'sync_delay_ms': sync_delay_ms,
-            **figures,
+            **results,
             'leader': leader,
             'cpu_us_per_claim': cpu_us_by_host,
             'leader_memory_mb': round(
@@ -80,9 +80,12 @@
 
 
 def _dial_leader(
-    group: MeasuredGroup, pool: ThreadPoolExecutor
+    group: LocalControlGroup, pool: ThreadPoolExecutor
 ) -> tuple[Connection, str]:
-    """Follow the hint that any host gives."""
+    """Connect to any host and follow its `LeaderHint` to the leader.
+
+    Returns the link and the leader's name.
+    """
     own = Hello('entry-1', 'entry', 'entry-1-a', '127.0.0.1:4000')
     address = f'127.0.0.1:{group.hosts[0].internal_port}'
     link = dial(address, own, LinkTiming(), pool)
@@ -93,22 +96,22 @@
             link.close()
             link = dial(message.address, own, LinkTiming(), pool)
             return link, message.leader
-    raise AssertionError('the link ends with an error')
+    raise AssertionError(f'{address} closed the link without a LeaderHint')
 
 
-def _claim_for_a_while(
+def _measure_claims(
     link: Connection,
     messages: Iterator[Any],
     batch: int,
-    numbers: Iterator[int],
+    sequence: Iterator[int],
 ) -> dict[str, float]:
     sent_at_by_request: dict[int, float] = {}
     latencies: list[float] = []
     refused = 0
 
     def send() -> None:
-        request = next(numbers)
-        claims = tuple(_claim(next(numbers)) for _ in range(batch))
+        request = next(sequence)
+        claims = tuple(_make_claim(next(sequence)) for _ in range(batch))
         sent_at_by_request[request] = time.monotonic()
         link.send(
             ClaimJobs(
@@ -116,8 +119,8 @@
             )
         )
 
-    begin = time.monotonic()
-    for _ in range(_REQUESTS_ON_THE_WAY):
+    began_at = time.monotonic()
+    for _ in range(_REQUESTS_IN_FLIGHT):
         send()
     while sent_at_by_request:
         message = next(messages)
@@ -126,9 +129,9 @@
             continue
         now = time.monotonic()
         latencies.append(now - sent_at_by_request.pop(message.request))
-        if now - begin < _SAMPLE_S:
+        if now - began_at < _SAMPLE_S:
             send()
-    seconds = time.monotonic() - begin
+    seconds = time.monotonic() - began_at
     latencies.sort()
     claims = len(latencies) * batch
     return {
@@ -142,8 +145,8 @@
     }
 
 
-def _claim(number: int) -> Claim:
-    issued_ms = _FIRST_ISSUED_MS + number
+def _make_claim(number: int) -> Claim:
+    issued_ms = _FIRST_ISSUE_MS + number
     job = f'client-{number % _CLIENTS}.{issued_ms}.{number:08d}'
     return Claim(job, number.to_bytes(32, 'big'), number)
 
--- a/tools/slopes_members.py
+++ b/tools/slopes_members.py
@@ -1,6 +1,6 @@
-"""What members cost one control host, as slopes over their number.
+"""Measures the cost of members at one control host by their number.
 
-Starts one control host as a process of its own and connects light
+Starts one control host as a separate process and connects simulated
 members to it, at four sizes. Prints one JSON line for each size::
 
     python -m tools.slopes_members
@@ -21,10 +21,10 @@
 from baobabgap.transport import dial
 from baobabgap.transport import LinkTiming
 from baobabgap.web import WebClient
-from tools._light_members import LightMembers
-from tools._measured_group import MeasuredGroup
-from tools._measured_group import MeasuredHost
-from tools._measured_group import process_usage
+from tools._local_control_group import LocalControlGroup
+from tools._local_control_group import LocalControlHost
+from tools._local_control_group import process_usage
+from tools._simulated_members import SimulatedMembers
 
 _SIZES: Final = (100, 250, 570, 1700)
 _SETTLE_S: Final = 6.0
@@ -33,19 +33,21 @@
 
 
 def main(sizes: tuple[int, ...] = _SIZES) -> None:
-    """Measure at each size, in growing order."""
+    """Measure each number of members, in increasing order."""
     with tempfile.TemporaryDirectory() as folder:
-        group = MeasuredGroup.start(folder, hosts=1, added_sync_delay_ms=0.0)
+        group = LocalControlGroup.start(
+            folder, hosts=1, added_sync_delay_ms=0.0
+        )
         try:
             measure(group.hosts[0], sizes)
         finally:
             group.stop()
 
 
-def measure(host: MeasuredHost, sizes: tuple[int, ...]) -> None:
-    """Print one line for each size."""
+def measure(host: LocalControlHost, sizes: tuple[int, ...]) -> None:
+    """Print one JSON line for each number of members."""
     web = WebClient(f'127.0.0.1:{host.http_port}')
-    members = LightMembers(
+    members = SimulatedMembers(
         host.internal_port, ControlSettings().member_heartbeat_s
     )
     connected = 0
@@ -53,36 +55,36 @@
         members.add(size - connected)
         connected = size
         time.sleep(_SETTLE_S)
-        before = usage(host.pid, web)
+        before = sample_usage(host.pid, web)
         time.sleep(_SAMPLE_S)
-        after = usage(host.pid, web)
+        after = sample_usage(host.pid, web)
         line = {
             'members': size,
-            **slope(before, after),
-            **spread_ticket(number, size, members, host, web),
+            **rates(before, after),
+            **measure_ticket_propagation(number, size, members, host, web),
         }
         print(json.dumps(line), flush=True)
     members.close()
 
 
-def usage(pid: int, web: WebClient) -> dict[str, float]:
-    """Return what the host has used so far."""
-    used = process_usage(pid)
+def sample_usage(pid: int, web: WebClient) -> dict[str, float]:
+    """Return a process's resource usage and the time of the sample."""
+    usage = process_usage(pid)
     metrics = _metrics(web)
     return {
         'at': time.monotonic(),
-        'cpu_s': used.cpu_s,
-        'threads': used.threads,
-        'memory_mb': used.memory_mb,
+        'cpu_s': usage.cpu_s,
+        'threads': usage.threads,
+        'memory_mb': usage.memory_mb,
         'sent': metrics['baobabgap_link_bytes_sent_total'],
         'received': metrics['baobabgap_link_bytes_received_total'],
     }
 
 
-def slope(
+def rates(
     before: dict[str, float], after: dict[str, float]
 ) -> dict[str, float]:
-    """Return rates between two samples, and the state at the second."""
+    """Return rates between two samples and the later memory and threads."""
     seconds = after['at'] - before['at']
 
     def rate(name: str) -> float:
@@ -97,35 +99,36 @@
     }
 
 
-def spread_ticket(
+def measure_ticket_propagation(
     number: int,
     size: int,
-    members: LightMembers,
-    host: MeasuredHost,
+    members: SimulatedMembers,
+    host: LocalControlHost,
     web: WebClient,
 ) -> dict[str, Any]:
-    """Put a ticket and time how long all members take to have it."""
+    """Put a ticket and measure the time until all members have received it."""
     before = _metrics(web)
-    begin = time.monotonic()
+    sent_at = time.monotonic()
     with ThreadPoolExecutor(4) as pool:
         own = Hello('tool-1', 'tool', 'tool-1-a')
         link = dial(f'127.0.0.1:{host.internal_port}', own, LinkTiming(), pool)
         link.send(PutTicket(1, number, {'policy': {}}))
         outcome = next(iter(link.messages()))
-        accepted = time.monotonic()
+        accepted_at = time.monotonic()
         link.close()
-    deadline = accepted + _TICKET_WAIT_S
-    while members.have_version(outcome.version) < size:
+    deadline = accepted_at + _TICKET_WAIT_S
+    while members.count_with_version(outcome.version) < size:
         if time.monotonic() > deadline:
             break
         time.sleep(0.005)
-    done = time.monotonic()
+    received_at = time.monotonic()
     after = _metrics(web)
     sent = 'baobabgap_link_bytes_sent_total'
     return {
-        'ticket_accepted_s': round(accepted - begin, 3),
-        'ticket_everywhere_s': round(done - accepted, 3),
-        'ticket_missing_at': size - members.have_version(outcome.version),
+        'ticket_accepted_s': round(accepted_at - sent_at, 3),
+        'ticket_everywhere_s': round(received_at - accepted_at, 3),
+        'ticket_missing_at': size
+        - members.count_with_version(outcome.version),
         'ticket_sent_bytes': after[sent] - before[sent],
     }
 
--- a/tools/tests/test_frozen_leader.py
+++ b/tools/tests/test_frozen_leader.py
@@ -17,8 +17,8 @@
 from baobabgap.settings import Links
 from baobabgap.settings import Role
 from baobabgap.settings import Settings
-from tools._measured_group import MeasuredGroup
-from tools._measured_group import MeasuredHost
+from tools._local_control_group import LocalControlGroup
+from tools._local_control_group import LocalControlHost
 
 _LONGEST_WAIT_S: Final = 20.0
 _QUOTA: Final = 'quota/rowing'
@@ -32,12 +32,12 @@
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.group = MeasuredGroup.start(folder.name, 3, 0.0)
+        self.group = LocalControlGroup.start(folder.name, 3, 0.0)
         self.addCleanup(self.group.stop)
         self.pool = ThreadPoolExecutor(64)
         self.addCleanup(self.pool.shutdown, wait=False)
 
-    def client(self, role: str, *hosts: MeasuredHost) -> ControlClient:
+    def client(self, role: str, *hosts: LocalControlHost) -> ControlClient:
         settings = Settings(
             role=Role.ENTRY,
             name=f'{role}-1',
@@ -54,7 +54,7 @@
         self.addCleanup(client.stop)
         return client
 
-    def leader(self, entry: ControlClient) -> MeasuredHost:
+    def leader(self, entry: ControlClient) -> LocalControlHost:
         """Return the host that the entry has settled at."""
         page = entry.query('status').result(_LONGEST_WAIT_S)
         deadline = time.monotonic() + _LONGEST_WAIT_S
