--- a/tools/tests/dummy_daemon.py
+++ b/tools/tests/dummy_daemon.py
@@ -1,4 +1,4 @@
-"""A process that is ready at once and does nothing, to test the launcher."""
+"""A daemon without function that is ready at once, for launcher tests."""
 
 from http.server import BaseHTTPRequestHandler
 from http.server import HTTPServer
@@ -12,14 +12,14 @@
     """Answers every GET with 200."""
 
     def do_GET(self) -> None:
-        """Say that all is well."""
+        """Respond with an empty body."""
         self.send_response(200)
         self.send_header('Content-Length', '0')
         self.end_headers()
 
 
 def main() -> None:
-    """Serve until SIGTERM; fail at once if named entry-9."""
+    """Serve until SIGTERM; exit with an error at once if named entry-9."""
     settings = load_settings(sys.argv[sys.argv.index('--settings') + 1])
     if settings.name == 'entry-9':
         sys.exit('entry-9 never starts')
--- a/tools/tests/test_answers.py
+++ b/tools/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' own check of what they were answered."""
+"""Tests of the classification of responses in the benchmark."""
 
 import json
 from typing import Any
@@ -35,26 +35,32 @@
 
 
 class TestJudge(unittest.TestCase):
-    """Only a whole answer, in order and its own, counts as whole."""
+    """A response is whole only with all values, in order, of its own job.
 
-    def test_ends(self) -> None:
+    Otherwise the benchmark would miss lost, reordered or mixed-up results.
+    """
+
+    def test_classification(self) -> None:
         first, second = _TASKS
         own = [_result(first), _result(second)]
         cases: dict[str, tuple[Any, End]] = {
             'whole': (_whole(*own), End.WHOLE),
-            'one short': (_whole(own[0]), End.PARTIAL),
-            'twice the same': (_whole(own[0], own[0]), End.PARTIAL),
+            'missing value': (_whole(own[0]), End.PARTIAL),
+            'duplicate value': (_whole(own[0], own[0]), End.PARTIAL),
             'out of order': (_whole(*reversed(own)), End.PARTIAL),
-            'value of another': (
+            'value of another job': (
                 _whole(own[0], _result(second, _OTHER)),
                 End.WRONG_CALLER,
             ),
-            'answer of another': (_whole(*own, job=_OTHER), End.WRONG_CALLER),
+            'answer of another job': (
+                _whole(*own, job=_OTHER),
+                End.WRONG_CALLER,
+            ),
             'refused': (_failure('refused', 'overloaded'), End.REFUSED),
             'failed': (_failure('failed', 'task_lost'), End.FAILED),
             'cancelled': (_failure('failed', 'cancelled'), End.CANCELLED),
             'pending': ({'state': 'pending'}, End.NO_ANSWER),
-            'nothing': (None, End.NO_ANSWER),
+            'empty document': (None, End.NO_ANSWER),
         }
         for name, (document, expected) in cases.items():
             with self.subTest(name):
@@ -65,7 +71,7 @@
                 self.assertTrue(outcome.has_retry_after)
                 self.assertEqual(expected is End.WHOLE, outcome.met_deadline)
 
-    def test_late(self) -> None:
+    def test_late_answer_misses_deadline(self) -> None:
         body = json.dumps(_whole(*map(_result, _TASKS))).encode()
         outcome = judge(_JOB, _OWN, WebResponse(200, {}, body), 0.0, 1.1)
         self.assertFalse(outcome.met_deadline)
--- a/tools/tests/test_control_history.py
+++ b/tools/tests/test_control_history.py
@@ -1,4 +1,4 @@
-"""The checker of control histories, and one short run."""
+"""Tests of the control history checker, and a short run of it."""
 
 from dataclasses import replace
 import unittest
@@ -16,7 +16,7 @@
 GRANTED = ClaimStatus.GRANTED
 ACCEPTED = TicketStatus.ACCEPTED
 
-SOUND = History(
+VALID = History(
     claims=[
         ClaimEvent('a.1.n', 'entry-1', 1, GRANTED, 'entry-1'),
         ClaimEvent('a.1.n', 'entry-2', 2, ClaimStatus.OWNED, 'entry-1'),
@@ -37,26 +37,26 @@
 
 
 class CheckerTest(unittest.TestCase):
-    def test_sound_history_passes(self) -> None:
-        self.assertEqual(check(SOUND), [])
+    def test_valid_history_passes(self) -> None:
+        self.assertEqual(check(VALID), [])
 
-    def test_planted_faults_are_found(self) -> None:
-        final = SOUND.final
+    def test_violations_are_found(self) -> None:
+        final = VALID.final
         cases = [
             (
                 'granted twice',
                 replace(
-                    SOUND,
+                    VALID,
                     claims=[
-                        *SOUND.claims,
+                        *VALID.claims,
                         ClaimEvent('a.1.n', 'entry-1', 7, GRANTED, 'entry-1'),
                     ],
                 ),
             ),
             (
-                'refused claim took hold',
+                'failed claim is granted',
                 replace(
-                    SOUND,
+                    VALID,
                     final=replace(
                         final,
                         owner_by_job={
@@ -68,14 +68,14 @@
             ),
             (
                 'grant lost',
-                replace(SOUND, final=replace(final, owner_by_job={})),
+                replace(VALID, final=replace(final, owner_by_job={})),
             ),
             (
-                'two tickets with one number',
+                'two tickets with the same number',
                 replace(
-                    SOUND,
+                    VALID,
                     tickets=[
-                        *SOUND.tickets,
+                        *VALID.tickets,
                         TicketEvent(1, 'y', ACCEPTED, 2.0),
                     ],
                     final=replace(final, content_by_number={1: 'x'}),
@@ -83,19 +83,19 @@
             ),
             (
                 'accepted ticket lost',
-                replace(SOUND, final=replace(final, content_by_number={})),
+                replace(VALID, final=replace(final, content_by_number={})),
             ),
             (
-                'refused ticket took hold',
+                'failed ticket is accepted',
                 replace(
-                    SOUND,
+                    VALID,
                     final=replace(final, content_by_number={1: 'x', 2: 'x'}),
                 ),
             ),
             (
-                'reader went back',
+                'non-monotonic reads',
                 replace(
-                    SOUND,
+                    VALID,
                     reads=[
                         ReadEvent('watcher', 1, 1.5, False),
                         ReadEvent('watcher', 0, 1.6, False),
@@ -103,8 +103,8 @@
                 ),
             ),
             (
-                'read behind an accepted ticket',
-                replace(SOUND, reads=[ReadEvent('r', 0, 1.5, True)]),
+                'stale linearizable read',
+                replace(VALID, reads=[ReadEvent('r', 0, 1.5, True)]),
             ),
         ]
         for name, history in cases:
@@ -113,7 +113,7 @@
 
 
 class ShortRunTest(unittest.TestCase):
-    def test_promises_hold_under_random_faults(self) -> None:
+    def test_guarantees_hold_under_random_faults(self) -> None:
         history = HistoryRun(seed=1, seconds=9.0).run()
         self.assertEqual(check(history), [])
         self.assertGreater(len(history.claims), 0)
--- a/tools/tests/test_demo.py
+++ b/tools/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Tests that the demonstration of the README works as it stands."""
+"""Tests that the demonstration in the README works."""
 
 from contextlib import redirect_stdout
 from io import StringIO
@@ -8,14 +8,14 @@
 
 
 class TestDemo(unittest.TestCase):
-    """The first thing that a newcomer runs."""
+    """Guards against a demonstration that breaks with a change of the tool."""
 
     def test_every_job_is_whole(self) -> None:
         output = StringIO()
         with redirect_stdout(output):
             status = main()
-        shown = output.getvalue()
-        self.assertEqual(0, status, shown)
-        self.assertEqual(6, shown.count('  whole  '))
+        printed = output.getvalue()
+        self.assertEqual(0, status, printed)
+        self.assertEqual(6, printed.count('  whole  '))
         for event in ('claimed', 'placed', 'agent:run started', 'ended'):
-            self.assertIn(event, shown)
+            self.assertIn(event, printed)
--- a/tools/tests/test_frozen_leader.py
+++ b/tools/tests/test_frozen_leader.py
@@ -1,4 +1,9 @@
-"""The leader of the control group freezes for a while and thaws."""
+"""Tests that a suspended leader neither loses nor reverts state.
+
+While the leader is suspended, the other hosts elect a new one. Once it
+is resumed, the old leader still considers itself the leader and could
+answer from its outdated state.
+"""
 
 from concurrent.futures import ThreadPoolExecutor
 import os
@@ -20,12 +25,12 @@
 from tools._local_control_group import LocalControlGroup
 from tools._local_control_group import LocalControlHost
 
-_LONGEST_WAIT_S: Final = 20.0
-_QUOTA: Final = 'quota/rowing'
+_WAIT_LIMIT_S: Final = 20.0
+_QUOTA_KEY: Final = 'quota/rowing'
 
 
 def _ignore(changes: Changes) -> None:
-    """Take changes that the test does not look at."""
+    """Ignore changes that the test doesn't check."""
 
 
 class FrozenLeaderTest(unittest.TestCase):
@@ -37,7 +42,9 @@
         self.pool = ThreadPoolExecutor(64)
         self.addCleanup(self.pool.shutdown, wait=False)
 
-    def client(self, role: str, *hosts: LocalControlHost) -> ControlClient:
+    def start_client(
+        self, role: str, *hosts: LocalControlHost
+    ) -> ControlClient:
         settings = Settings(
             role=Role.ENTRY,
             name=f'{role}-1',
@@ -55,41 +62,41 @@
         return client
 
     def leader(self, entry: ControlClient) -> LocalControlHost:
-        """Return the host that the entry has settled at."""
-        page = entry.query('status').result(_LONGEST_WAIT_S)
-        deadline = time.monotonic() + _LONGEST_WAIT_S
+        """Return the leader once the entry is connected to it."""
+        page = entry.query('status').result(_WAIT_LIMIT_S)
+        deadline = time.monotonic() + _WAIT_LIMIT_S
         while page['log']['leader'] != page['log']['name']:
             self.assertLess(time.monotonic(), deadline)
             time.sleep(0.05)
-            page = entry.query('status').result(_LONGEST_WAIT_S)
+            page = entry.query('status').result(_WAIT_LIMIT_S)
         return next(
             host
             for host in self.group.hosts
             if host.name == page['log']['name']
         )
 
-    def test_nothing_is_lost_and_nothing_reverts(self) -> None:
-        entry = self.client('entry', *self.group.hosts)
+    def test_no_state_is_lost_or_reverted(self) -> None:
+        entry = self.start_client('entry', *self.group.hosts)
         before = Claim('kurek.1.n', b'digest', 1)
-        granted = entry.claim(before).result(_LONGEST_WAIT_S)
+        granted = entry.claim(before).result(_WAIT_LIMIT_S)
         self.assertIs(granted.status, ClaimStatus.GRANTED)
-        frozen = self.leader(entry)
-        os.kill(frozen.pid, signal.SIGSTOP)
+        frozen_leader = self.leader(entry)
+        os.kill(frozen_leader.pid, signal.SIGSTOP)
         try:
             during = Claim('kurek.2.n', b'digest', 2)
-            granted = entry.claim(during).result(_LONGEST_WAIT_S)
+            granted = entry.claim(during).result(_WAIT_LIMIT_S)
             self.assertIs(granted.status, ClaimStatus.GRANTED)
-            state = {_QUOTA: {'tasks_per_second': 5}}
-            ticket = entry.put_ticket(7, state).result(_LONGEST_WAIT_S)
+            accepted_state = {_QUOTA_KEY: {'tasks_per_second': 5}}
+            ticket = entry.put_ticket(7, accepted_state).result(_WAIT_LIMIT_S)
             self.assertIs(ticket.status, TicketStatus.ACCEPTED)
         finally:
-            os.kill(frozen.pid, signal.SIGCONT)
-        tool = self.client('tool', frozen)
-        other = {_QUOTA: {'tasks_per_second': 6}}
-        lost = tool.put_ticket(7, other).result(_LONGEST_WAIT_S)
-        self.assertIs(lost.status, TicketStatus.LOST)
-        self.assertEqual(lost.winner, state)
+            os.kill(frozen_leader.pid, signal.SIGCONT)
+        tool = self.start_client('tool', frozen_leader)
+        conflicting_state = {_QUOTA_KEY: {'tasks_per_second': 6}}
+        rejected = tool.put_ticket(7, conflicting_state).result(_WAIT_LIMIT_S)
+        self.assertIs(rejected.status, TicketStatus.LOST)
+        self.assertEqual(rejected.winner, accepted_state)
         for claim in (before, during):
-            found = tool.lookup(claim).result(_LONGEST_WAIT_S)
-            self.assertIs(found.status, ClaimStatus.OWNED)
-            self.assertEqual(found.owner, 'entry-1')
+            outcome = tool.lookup(claim).result(_WAIT_LIMIT_S)
+            self.assertIs(outcome.status, ClaimStatus.OWNED)
+            self.assertEqual(outcome.owner, 'entry-1')
--- a/tools/tests/test_history.py
+++ b/tools/tests/test_history.py
@@ -1,4 +1,4 @@
-"""A short part of `make history`, in which no seed may be RED."""
+"""Runs `make history` briefly with two seeds that must not be RED."""
 
 from typing import Final
 import unittest
@@ -10,7 +10,7 @@
 
 
 class TestHistory(unittest.TestCase):
-    """No rule is broken by concurrent runs under random faults."""
+    """Concurrent requests under random faults violate no rule."""
 
     def test_rules_hold(self) -> None:
         for seed in _SEEDS:
--- a/tools/tests/test_history_checker.py
+++ b/tools/tests/test_history_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each planted fault, and nothing in valid histories."""
+"""Tests that the checker finds each violation and has no false positives."""
 
 from dataclasses import dataclass
 from dataclasses import replace
@@ -54,7 +54,7 @@
 
 
 def _job_history(*requests: JobRequest, starts: int = 1) -> History:
-    """A history of the job `j`, whose two tasks were started so often."""
+    """Return a history of job `j` with `starts` starts of its two tasks."""
     return History(
         contents=(JobContent('j', (('t0', _PAYLOAD), ('t1', _PAYLOAD))),),
         requests=requests,
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Case:
-    """A history and the rule that it breaks; empty if none."""
+    """A history and the rule that it violates, or empty if it is valid."""
 
     name: str
     rule: str
@@ -112,12 +112,12 @@
         ),
     ),
     _Case(
-        'a task left out',
+        'a task missing',
         'whole or failed',
         _job_history(_request(0, _whole('j', 't0'))),
     ),
     _Case(
-        'a task twice',
+        'a duplicate task',
         'whole or failed',
         _job_history(_request(0, _whole('j', 't0', 't0'))),
     ),
@@ -187,17 +187,17 @@
         ),
     ),
     _Case(
-        'a page went back',
+        'a page of an older state',
         'reads advance',
         History(reads=(_read(0, _FIRST, _SECOND), _read(1, _FIRST))),
     ),
     _Case(
-        'a process went back',
+        'a process with an older version',
         'reads advance',
         History(versions=(VersionRead('e', 0, 9), VersionRead('e', 1, 8))),
     ),
     _Case(
-        'two orders',
+        'two readers with different tickets',
         'one order',
         History(
             reads=(
@@ -207,7 +207,7 @@
         ),
     ),
     _Case(
-        'a ticket slipped in below',
+        'a ticket inserted below a newer one',
         'one order',
         History(reads=(_read(0, _SECOND), _read(1, _FIRST, _SECOND))),
     ),
@@ -291,13 +291,13 @@
 )
 
 
-class TestPlantedFaults(unittest.TestCase):
-    """Each planted fault is found under the name of its rule."""
+class TestViolations(unittest.TestCase):
+    """The checker reports each violation under the name of its rule."""
 
     def test_rules(self) -> None:
         for case in _CASES:
             with self.subTest(case.name):
-                rules = {found.rule for found in check(case.history)}
+                rules = {violation.rule for violation in check(case.history)}
                 if case.rule:
                     self.assertIn(case.rule, rules)
                 else:
@@ -305,10 +305,11 @@
 
 
 class _Model:
-    """A right system, which carries out one thing after the other.
+    """A sequential model of a correct system.
 
-    Requests may begin long before that moment and end long after it, so
-    that they overlap; the requests of one reader don't.
+    Each request takes effect at one moment. It may begin long before that
+    moment and end long after it, so that requests overlap, except for the
+    reads of one reader.
     """
 
     def __init__(self) -> None:
@@ -322,9 +323,9 @@
         return self.now_s
 
     def ask(
-        self, job: str, action: JobAction, end: str, spread: tuple[int, int]
+        self, job: str, action: JobAction, end: str, margins: tuple[int, int]
     ) -> None:
-        """Submit, fetch or cancel; `end` is how a new job would end."""
+        """Submit, fetch or cancel; `end` is the outcome of a new job."""
         refused = Refused('draining' if action is JobAction.SUBMIT else 'none')
         known = self.end_by_job.get(job)
         if known is None and action is JobAction.SUBMIT and end != 'refused':
@@ -335,11 +336,11 @@
         if known is not None and end in ('pending', 'no answer'):
             outcome = Pending() if end == 'pending' else NoAnswer()
         request = _request(0.0, outcome, action, job)
-        self.events.append(self.spread(request, spread))
+        self.events.append(self.with_interval(request, margins))
 
-    def spread(self, event: Any, spread: tuple[int, int]) -> Any:
+    def with_interval(self, event: Any, margins: tuple[int, int]) -> Any:
         now_s = self.tick()
-        before_s, after_s = spread
+        before_s, after_s = margins
         return replace(
             event, began_s=now_s - before_s, ended_s=now_s + after_s
         )
@@ -349,7 +350,7 @@
         number: int,
         content: str,
         is_answered: bool,
-        spread: tuple[int, int],
+        margins: tuple[int, int],
     ) -> None:
         newest = self.tickets[-1].number if self.tickets else 0
         kept = {ticket.number: ticket for ticket in self.tickets}.get(number)
@@ -365,7 +366,7 @@
             result = Accepted(version)
         result = result if is_answered else TicketUnknown()
         put = _put(0.0, number, content, result)
-        self.events.append(self.spread(put, spread))
+        self.events.append(self.with_interval(put, margins))
 
     def read(self, reader: str) -> None:
         now_s = self.tick()
@@ -397,31 +398,31 @@
     'pending',
     'no answer',
 )
-# Seconds before and after the moment at which a request is carried out.
-_SPREADS: Final = strategies.tuples(
+# Seconds of a request before and after the moment at which it takes effect.
+_MARGINS: Final = strategies.tuples(
     strategies.integers(0, 9), strategies.integers(0, 9)
 )
-_ASKED: Final = strategies.tuples(
+_REQUEST_STEPS: Final = strategies.tuples(
     strategies.just('ask'),
     strategies.sampled_from(('a', 'b', 'c')),
     strategies.sampled_from(tuple(JobAction)),
     strategies.sampled_from(_ENDS),
-    _SPREADS,
+    _MARGINS,
 )
-_PUTS: Final = strategies.tuples(
+_PUT_STEPS: Final = strategies.tuples(
     strategies.just('put'),
     strategies.integers(1, 6),
     strategies.sampled_from(('x', 'y')),
     strategies.booleans(),
-    _SPREADS,
+    _MARGINS,
 )
-_READS: Final = strategies.tuples(
+_READ_STEPS: Final = strategies.tuples(
     strategies.just('read'), strategies.sampled_from(('one', 'other'))
 )
 
 
 class TestValidHistories(unittest.TestCase):
-    """No rule is reported as broken by a system that keeps them all."""
+    """The checker reports no violation for histories of a correct system."""
 
     @settings(
         max_examples=300,
@@ -430,8 +431,12 @@
         database=None,
         suppress_health_check=list(HealthCheck),
     )
-    @given(strategies.lists(_ASKED | _PUTS | _READS, max_size=40))
-    def test_no_false_alarm(self, steps: list[tuple[Any, ...]]) -> None:
+    @given(
+        strategies.lists(
+            _REQUEST_STEPS | _PUT_STEPS | _READ_STEPS, max_size=40
+        )
+    )
+    def test_no_false_positives(self, steps: list[tuple[Any, ...]]) -> None:
         model = _Model()
         for name, *arguments in steps:
             getattr(model, name)(*arguments)
--- a/tools/tests/test_job_history.py
+++ b/tools/tests/test_job_history.py
@@ -1,4 +1,4 @@
-"""The rules of the job history find planted faults; short runs hold."""
+"""Tests that each job history rule finds its violation, and short runs."""
 
 from collections.abc import Callable
 from typing import Final
@@ -21,7 +21,7 @@
 
 
 def _make_history(*runs: RunRecord) -> JobHistory:
-    """Return the history of one stored job that was served."""
+    """Return a valid history of one stored and completed job."""
     history = JobHistory({_JOB: 1}, {_JOB}, has_recovered=True)
     history.runs += runs or (_make_run(1, 2.0, 3.0, RunEnd.DONE),)
     history.final_states[_JOB] = 'completed'
@@ -49,21 +49,21 @@
     return Called(verb, _JOB, asked_at, asked_at + 0.1, outcome, state)
 
 
-def _two_at_once() -> JobHistory:
+def _concurrent_runs() -> JobHistory:
     return _make_history(
         _make_run(1, 2.0, 4.0, RunEnd.INTERRUPTED),
         _make_run(2, 3.0, 5.0, RunEnd.DONE),
     )
 
 
-def _again_after_done() -> JobHistory:
+def _start_after_done() -> JobHistory:
     return _make_history(
         _make_run(1, 2.0, 3.0, RunEnd.DONE),
         _make_run(2, 3.5, 4.0, RunEnd.DONE),
     )
 
 
-def _third_attempt() -> JobHistory:
+def _start_beyond_attempts() -> JobHistory:
     return _make_history(
         _make_run(1, 2.0, 3.0, RunEnd.FAILED),
         _make_run(2, 3.0, 4.0, RunEnd.FAILED),
@@ -77,7 +77,7 @@
     return history
 
 
-def _refused_that_ran() -> JobHistory:
+def _start_of_refused_job() -> JobHistory:
     history = _make_history()
     history.stored_jobs.clear()
     history.calls = [_make_call('submit', 1.0, CallOutcome.OVERLOADED)]
@@ -96,7 +96,7 @@
     return history
 
 
-def _forgotten_job() -> JobHistory:
+def _unknown_accepted_job() -> JobHistory:
     history = _make_history()
     history.add(_make_call('read', 2.0, CallOutcome.NO_SUCH_JOB))
     return history
@@ -109,42 +109,44 @@
     return history
 
 
-def _dead_deployment() -> JobHistory:
+def _unrecovered_deployment() -> JobHistory:
     history = _make_history()
     history.has_recovered = False
     return history
 
 
-_PLANTED: Final[dict[str, Callable[[], JobHistory]]] = {
-    'no_two_runs_at_once': _two_at_once,
-    'no_start_after_a_noted_end': _again_after_done,
-    'no_start_beyond_the_attempts': _third_attempt,
+_VIOLATING_HISTORY_BY_RULE: Final[dict[str, Callable[[], JobHistory]]] = {
+    'no_two_runs_at_once': _concurrent_runs,
+    'no_start_after_a_noted_end': _start_after_done,
+    'no_start_beyond_the_attempts': _start_beyond_attempts,
     'no_start_after_a_cancel': _start_after_cancel,
-    'no_start_of_what_was_refused': _refused_that_ran,
+    'no_start_of_what_was_refused': _start_of_refused_job,
     'accepted_jobs_end': _lost_job,
-    'known_once_accepted': _forgotten_job,
+    'known_once_accepted': _unknown_accepted_job,
     'configuration_never_goes_back': _older_configuration,
-    'serves_again': _dead_deployment,
+    'serves_again': _unrecovered_deployment,
 }
 
 
 class JobRulesTest(unittest.TestCase):
-    def test_good_history_breaks_nothing(self) -> None:
+    def test_valid_history_has_no_violation(self) -> None:
         self.assertEqual([], check(_make_history()))
 
-    def test_each_rule_finds_its_fault(self) -> None:
-        for rule, make in _PLANTED.items():
+    def test_each_rule_finds_its_violation(self) -> None:
+        for rule, make in _VIOLATING_HISTORY_BY_RULE.items():
             with self.subTest(rule):
-                found = [breach.partition(':')[0] for breach in check(make())]
-                self.assertEqual([rule], found)
+                violations = [
+                    breach.partition(':')[0] for breach in check(make())
+                ]
+                self.assertEqual([rule], violations)
 
     def test_failure_needs_its_attempts(self) -> None:
-        found = check(_failed_without_cause())
-        self.assertEqual(1, len(found), found)
+        violations = check(_failed_without_cause())
+        self.assertEqual(1, len(violations), violations)
 
 
 class JobHistoryTest(unittest.TestCase):
-    """No promise is broken under random faults, from fixed seeds."""
+    """Runs under random faults with fixed seeds violate no rule."""
 
     def test_rules_hold(self) -> None:
         for seed in _SEEDS:
--- a/tools/tests/test_launcher.py
+++ b/tools/tests/test_launcher.py
@@ -1,4 +1,4 @@
-"""Tests of the launcher, with processes that do nothing."""
+"""Tests of the launcher with dummy daemons."""
 
 from pathlib import Path
 import sys
@@ -9,16 +9,16 @@
 from tools.launcher import Launcher
 from tools.launcher import LaunchError
 
-_DUMMY = (sys.executable, '-m', 'tools.tests.dummy_daemon')
-_SMALL = DeploymentPlan(control_hosts=1, entries=1, agents=1)
+_DUMMY_COMMAND = (sys.executable, '-m', 'tools.tests.dummy_daemon')
+_SMALL_PLAN = DeploymentPlan(control_hosts=1, entries=1, agents=1)
 
 
-def _runs(pid: int) -> bool:
+def _is_running(pid: int) -> bool:
     return Path(f'/proc/{pid}').exists()
 
 
 class TestDeploymentPlan(unittest.TestCase):
-    """The settings that are written are settings that a daemon takes."""
+    """A daemon can load every settings file that a plan writes."""
 
     def test_settings_load(self) -> None:
         with Launcher.from_plan(DeploymentPlan(agents=2)) as launcher:
@@ -35,38 +35,38 @@
 
 
 class TestLauncher(unittest.TestCase):
-    """Processes start, end and are cleaned up, also after an error."""
+    """Processes start and stop; none is left running after an error."""
 
-    def test_ends_all_on_error(self) -> None:
+    def test_kills_all_on_error(self) -> None:
         pids: list[int] = []
         with self.assertRaisesRegex(ValueError, 'on purpose'):
-            with Launcher.from_plan(_SMALL, _DUMMY) as launcher:
+            with Launcher.from_plan(_SMALL_PLAN, _DUMMY_COMMAND) as launcher:
                 launcher.start_all()
                 launcher.wait_until_ready()
                 pids = [launcher.pid(name) for name in launcher.names]
                 launcher.freeze('agent-1')
                 raise ValueError('on purpose')
         self.assertEqual(4, len(pids))
-        self.assertEqual([], [pid for pid in pids if _runs(pid)])
+        self.assertEqual([], [pid for pid in pids if _is_running(pid)])
         self.assertFalse(launcher.folder.exists())
 
-    def test_signals(self) -> None:
-        with Launcher.from_plan(_SMALL, _DUMMY) as launcher:
+    def test_restart_and_stop(self) -> None:
+        with Launcher.from_plan(_SMALL_PLAN, _DUMMY_COMMAND) as launcher:
             launcher.start_all()
             launcher.wait_until_ready()
-            first = launcher.pid('entry-1')
+            first_pid = launcher.pid('entry-1')
             self.assertGreater(launcher.usage('entry-1').processor_s, 0.0)
             self.assertGreater(launcher.usage('entry-1').resident_bytes, 0)
             launcher.restart('entry-1')
             launcher.wait_until_ready(['entry-1'])
-            self.assertNotEqual(first, launcher.pid('entry-1'))
-            self.assertFalse(_runs(first))
+            self.assertNotEqual(first_pid, launcher.pid('entry-1'))
+            self.assertFalse(_is_running(first_pid))
             self.assertEqual(0, launcher.stop('entry-1'))
             self.assertFalse(launcher.is_ready('entry-1'))
 
-    def test_tells_of_early_end(self) -> None:
+    def test_reports_early_exit(self) -> None:
         plan = DeploymentPlan(control_hosts=1, entries=9, agents=0)
-        with Launcher.from_plan(plan, _DUMMY) as launcher:
+        with Launcher.from_plan(plan, _DUMMY_COMMAND) as launcher:
             launcher.write_settings()
             launcher.start('entry-9')
             with self.assertRaisesRegex(LaunchError, 'never starts'):
--- a/tools/tests/test_matrix.py
+++ b/tools/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""Some cells of the fault matrix, and its checks on planted faults."""
+"""Tests of some cells of the fault matrix and of its checks."""
 
 from collections import Counter
 import unittest
@@ -19,7 +19,7 @@
 from tools.matrix._checks import check_jobs
 from tools.matrix._run import run_cells
 
-# A name, what the caller was told, starts by task, problems to find.
+# Name, ends of the attempts, starts by task, expected number of problems.
 _Case = tuple[str, tuple[End, ...], dict[tuple[str, str], int], int]
 _SEED = 1
 _CELLS = (
@@ -49,15 +49,20 @@
         self.assertEqual(expected, result.line())
         self.assertEqual(len(Fault), len(cells_of(Step.PLACE)))
 
-    def test_planted_faults_are_found(self) -> None:
+    def test_violations_are_found(self) -> None:
         once = {('job', 't0'): 1}
         cases: tuple[_Case, ...] = (
             ('whole', (End.WHOLE,), once, 0),
             ('started twice', (End.WHOLE,), {('job', 't0'): 2}, 1),
             ('no end', (End.NO_ANSWER,), once, 1),
             ('partial', (End.PARTIAL,), once, 2),
-            ('wrong at first', (End.WRONG_CALLER, End.WHOLE), once, 1),
-            ('refused, yet run', (End.REFUSED,), once, 1),
+            (
+                'wrong caller, then whole',
+                (End.WRONG_CALLER, End.WHOLE),
+                once,
+                1,
+            ),
+            ('refused but started', (End.REFUSED,), once, 1),
             ('refused', (End.REFUSED,), {}, 0),
             ('refused, then admitted', (End.REFUSED, End.FAILED), once, 0),
             ('lost, then refused', (End.NO_ANSWER, End.REFUSED), once, 0),
@@ -66,11 +71,11 @@
             with self.subTest(name):
                 counts = Mock(StandInCounts)
                 counts.starts_by_task.return_value = Counter(starts)
-                found = list(check_jobs([_called(ends)], counts))
+                found = list(check_jobs([_make_called_job(ends)], counts))
                 self.assertEqual(problems, len(found), found)
 
 
-def _called(ends: tuple[End, ...]) -> CalledJob:
+def _make_called_job(ends: tuple[End, ...]) -> CalledJob:
     job = TraceJob(1, 0.0, 'kurek', 'clubs', 5_000, ())
     attempts = [Outcome(job, 'job', end, 0.0, 0.0) for end in ends]
     return CalledJob('job', attempts)
--- a/tools/tests/test_omniscient.py
+++ b/tools/tests/test_omniscient.py
@@ -1,4 +1,4 @@
-"""Tests of the baseline, against cases worked out by hand."""
+"""Tests of the omniscient baseline against hand-computed cases."""
 
 import unittest
 
@@ -22,14 +22,14 @@
 
 
 class TestOmniscientResponses(unittest.TestCase):
-    """One queue over all slots, first come first served, no delays."""
+    """All slots serve one FIFO queue without overhead."""
 
-    def test_hand_worked(self) -> None:
+    def test_hand_computed_cases(self) -> None:
         cases = {
             'alone': ([_job(0, 0, (300, 200))], {0: 0.3}),
-            # The third task waits for the shorter of the two.
+            # The third task waits for the shorter of the first two.
             'own queue': ([_job(0, 0, (300, 200, 200))], {0: 0.4}),
-            # Both slots are taken until 0.3 and 0.5.
+            # The two slots are busy until 0.3 and 0.5.
             'waits': (
                 [_job(0, 0, (300, 500)), _job(1, 0.1, (100, 100))],
                 {0: 0.5, 1: 0.4},
@@ -38,7 +38,7 @@
                 [_job(0, 0.5, (100,)), _job(1, 0, (700, 800))],
                 {0: 0.3, 1: 0.8},
             ),
-            # Cancelled at 0.2: its slots serve the next from then on.
+            # Cancelled at 0.2, which frees its slots for the next job.
             'cancelled': (
                 [_job(0, 0, (900, 900, 900), 0.2), _job(1, 0.1, (100,))],
                 {1: 0.2},
@@ -54,7 +54,7 @@
 
 
 class TestQuantile(unittest.TestCase):
-    """Quantiles are values that occur."""
+    """A quantile is one of the values, not interpolated."""
 
     def test_ranks(self) -> None:
         values = list(range(100, 0, -1))
--- a/tools/tests/test_planned_stops.py
+++ b/tools/tests/test_planned_stops.py
@@ -1,7 +1,8 @@
-"""Separate processes answer files of jobs while each role is stopped.
+"""Tests that planned stops lose no answer and repeat no task.
 
-Real processes from settings files, the command-line tool as the callers,
-and SIGTERM to an agent, both entries and two control hosts in turn.
+Starts real processes from settings files. Callers submit files of jobs
+by the command-line tool, while an agent, both entries and two control
+hosts are stopped by SIGTERM in turn and started again.
 """
 
 from collections.abc import Iterator
@@ -22,9 +23,9 @@
 from tools.launcher import read_json
 
 _CALLERS: Final = 2
-# Each caller goes on until all stops are done, but sends this many files.
-_LEAST_FILES: Final = 4
-_JOBS_IN_A_FILE: Final = 25
+# A caller submits files until all stops are done, and at least this many.
+_MIN_FILES: Final = 4
+_JOBS_PER_FILE: Final = 25
 _STOP_LIMIT_S: Final = 60.0
 _TOOL_LIMIT_S: Final = 180.0
 _STOPPED_IN_TURN: Final = (
@@ -34,7 +35,7 @@
     'entry-2',
     'control-2',
 )
-_TASKS_OF_A_JOB: Final = (1, 1, 2, 4, 8)
+_TASKS_PER_JOB: Final = (1, 1, 2, 4, 8)
 _KINDS: Final = (
     ('etnavapore', 'well-records', 'casing-check'),
     ('etnavapore', 'well-records', 'temperature-extract'),
@@ -44,8 +45,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Called:
-    """One file of jobs and what the tool made of it."""
+class _Submission:
+    """A submitted file of jobs and the result of the tool."""
 
     jobs: list[dict[str, Any]]
     exit_code: int
@@ -55,7 +56,7 @@
 class TestPlannedStops(unittest.TestCase):
     """A planned stop of any role loses no answer and repeats no task."""
 
-    def test_every_answer_is_right(self) -> None:
+    def test_every_answer_is_correct(self) -> None:
         plan = DeploymentPlan(
             agents=4,
             added_sync_delay_ms=0.0,
@@ -70,18 +71,22 @@
             all_stopped = threading.Event()
             with ThreadPoolExecutor(_CALLERS) as pool:
                 callers = [
-                    pool.submit(_call, launcher, number, all_stopped)
+                    pool.submit(_submit_files, launcher, number, all_stopped)
                     for number in range(_CALLERS)
                 ]
                 try:
                     self._stop_in_turn(launcher)
                 finally:
                     all_stopped.set()
-                called = [one for caller in callers for one in caller.result()]
+                submissions = [
+                    submission
+                    for caller in callers
+                    for submission in caller.result()
+                ]
             starts = _count_starts(launcher)
-        for one in called:
-            self._assert_answers(one)
-        self.assertEqual(_count_tasks(called), starts)
+        for submission in submissions:
+            self._assert_answers(submission)
+        self.assertEqual(_count_tasks(submissions), starts)
 
     def _stop_in_turn(self, launcher: Launcher) -> None:
         for name in _STOPPED_IN_TURN:
@@ -89,30 +94,32 @@
             launcher.start(name)
             launcher.wait_until_ready([name])
 
-    def _assert_answers(self, called: _Called) -> None:
-        self.assertEqual(0, called.exit_code, called.output)
-        answers = [json.loads(line) for line in called.output.splitlines()]
+    def _assert_answers(self, submission: _Submission) -> None:
+        self.assertEqual(0, submission.exit_code, submission.output)
+        answers = [json.loads(line) for line in submission.output.splitlines()]
         answer_by_job = {answer['identifier']: answer for answer in answers}
-        self.assertEqual(len(called.jobs), len(answers))
-        for job in called.jobs:
+        self.assertEqual(len(submission.jobs), len(answers))
+        for job in submission.jobs:
             answer = answer_by_job[job['identifier']]
             self.assertEqual('whole', answer['state'], answer)
             self.assertEqual(_expected_results(job), answer['results'])
 
 
-def _call(
+def _submit_files(
     launcher: Launcher, number: int, all_stopped: threading.Event
-) -> list[_Called]:
-    """Submit one file after the other until all stops are done."""
-    called: list[_Called] = []
-    while len(called) < _LEAST_FILES or not all_stopped.is_set():
-        name = f'{number}-{len(called)}'
+) -> list[_Submission]:
+    """Submit files in sequence until all stops are done."""
+    submissions: list[_Submission] = []
+    while len(submissions) < _MIN_FILES or not all_stopped.is_set():
+        name = f'{number}-{len(submissions)}'
         jobs = list(_make_jobs(name))
         path = launcher.folder / f'jobs-{name}.jsonl'
         path.write_text('\n'.join(map(json.dumps, jobs)))
-        ended = _run_tool(launcher, 'submit', str(path), '--concurrency=8')
-        called.append(_Called(jobs, ended.returncode, ended.stdout))
-    return called
+        completed = _run_tool(launcher, 'submit', str(path), '--concurrency=8')
+        submissions.append(
+            _Submission(jobs, completed.returncode, completed.stdout)
+        )
+    return submissions
 
 
 def _run_tool(
@@ -133,18 +140,18 @@
 
 
 def _make_jobs(name: str) -> Iterator[dict[str, Any]]:
-    """Make mixed jobs; the declared run times are often far off."""
-    chance = random.Random(name)
-    for number in range(_JOBS_IN_A_FILE):
-        client, team, kind = chance.choice(_KINDS)
+    """Yield random jobs whose declared run times are often far off."""
+    rng = random.Random(name)
+    for number in range(_JOBS_PER_FILE):
+        client, team, kind = rng.choice(_KINDS)
         tasks = [
             {
                 'identifier': f't{n}',
                 'kind': kind,
-                'run_time_ms': chance.choice((50, 100, 300)),
-                'payload': {'n': n, 'sleep_ms': chance.randrange(50, 600)},
+                'run_time_ms': rng.choice((50, 100, 300)),
+                'payload': {'n': n, 'sleep_ms': rng.randrange(50, 600)},
             }
-            for n in range(chance.choice(_TASKS_OF_A_JOB))
+            for n in range(rng.choice(_TASKS_PER_JOB))
         ]
         issued_ms = time.time_ns() // 1_000_000
         yield {
@@ -157,7 +164,7 @@
 
 
 def _expected_results(job: dict[str, Any]) -> list[dict[str, Any]]:
-    """Return what the stand-ins answer: who asked, and the payload."""
+    """Return the results of the stand-ins, which echo ids and payload."""
     return [
         {
             'task': task['identifier'],
@@ -171,12 +178,16 @@
     ]
 
 
-def _count_tasks(called: list[_Called]) -> int:
-    return sum(len(job['tasks']) for one in called for job in one.jobs)
+def _count_tasks(submissions: list[_Submission]) -> int:
+    return sum(
+        len(job['tasks'])
+        for submission in submissions
+        for job in submission.jobs
+    )
 
 
 def _count_starts(launcher: Launcher) -> int:
-    """Sum all starts, also repeated ones, that the stand-ins counted."""
+    """Return the starts at all stand-ins, including repeated ones."""
     return sum(
         int(
             read_json(launcher.http_address(name), '/stand-in/counts')[
--- a/tools/tests/test_report.py
+++ b/tools/tests/test_report.py
@@ -1,4 +1,4 @@
-"""Tests of the report: each figure from a run worked out by hand."""
+"""Tests of the report against a hand-computed run."""
 
 from collections import Counter
 import unittest
@@ -54,9 +54,9 @@
 
 
 class TestReportLine(unittest.TestCase):
-    """What is counted at stand-ins and callers ends in the right figure."""
+    """Counts of stand-ins and callers end up under the right keys."""
 
-    def test_figures(self) -> None:
+    def test_line(self) -> None:
         line = report_line(_run())
         expected = {
             'jobs': 4,
@@ -64,7 +64,7 @@
             'whole': 2,
             'refused': 1,
             'failed': 1,
-            # One task was started twice, on two stand-ins perhaps.
+            # One task was started twice, possibly at two stand-ins.
             'duplicates': 1,
             'refused_but_started': 1,
             'refused_without_retry_after': 1,
@@ -76,7 +76,7 @@
             'entry_cpu_us_per_task': 1000,
             'agent_cpu_us_per_task': 2000,
             'control_cpu_us_per_job': 5000,
-            # Two of the tasks in time, of 4 s x 2 slots / 75 ms.
+            # 2 tasks in time; the capacity is 4 s x 2 slots / 75 ms.
             'goodput': 0.0187,
             'last_failed_sent_s': 3.0,
         }
@@ -84,11 +84,11 @@
             with self.subTest(key):
                 self.assertEqual(value, line[key])
 
-    def test_slope(self) -> None:
+    def test_slope_line(self) -> None:
         lines = [
             {'tasks': 100, 'jobs': 1, 'entry_cpu_us_per_task': 110},
             {'tasks': 3000, 'jobs': 10, 'entry_cpu_us_per_task': 90},
         ]
-        fitted = slope_line(lines)
-        self.assertEqual(80.0, fitted['entry_cpu_us_per_task_slope'])
-        self.assertEqual(3000.0, fitted['entry_cpu_us_per_job_intercept'])
+        line = slope_line(lines)
+        self.assertEqual(80.0, line['entry_cpu_us_per_task_slope'])
+        self.assertEqual(3000.0, line['entry_cpu_us_per_job_intercept'])
--- a/tools/tests/test_trace.py
+++ b/tools/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Tests of the trace generator: seeded, and as it was asked for."""
+"""Tests of the trace generator."""
 
 import unittest
 
@@ -17,9 +17,9 @@
 
 
 class TestGenerateTrace(unittest.TestCase):
-    """The same seed gives the same trace, of the shape asked for."""
+    """A trace is reproducible from its seed and matches its shape."""
 
-    def test_seeded(self) -> None:
+    def test_same_seed_gives_same_trace(self) -> None:
         first = generate_trace(7, _SHAPE)
         self.assertEqual(first, generate_trace(7, _SHAPE))
         self.assertNotEqual(first, generate_trace(8, _SHAPE))
@@ -60,8 +60,8 @@
         phases = (ArrivalPhase(0.0, 1.0, 1.0),)
         shape = TraceShape(88, phases, deadline_stretch=3.0)
         for job in generate_trace(7, shape):
-            wanted_ms = 3000 * job.longest_s + 500
-            self.assertAlmostEqual(wanted_ms, job.deadline_ms, delta=1)
+            expected_ms = 3000 * job.longest_s + 500
+            self.assertAlmostEqual(expected_ms, job.deadline_ms, delta=1)
 
     def test_wide(self) -> None:
         jobs = generate_wide_trace(jobs=3, tasks=100, pause_s=0.5)
--- a/tools/tests/test_whole_path.py
+++ b/tools/tests/test_whole_path.py
@@ -1,4 +1,8 @@
-"""The whole path as separate processes, with each role stopped in turn."""
+"""Tests planned stops of each role under load, with real processes.
+
+A process that drops its work at SIGTERM, or whose successor runs it
+again, loses answers or starts tasks twice.
+"""
 
 from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
@@ -27,12 +31,12 @@
 _SLOTS: Final = 8
 _SEED: Final = 4
 _CALLERS: Final = 8
-_MOST_ATTEMPTS: Final = 12
+_MAX_ATTEMPTS: Final = 12
 _RETRY_PAUSE_S: Final = 0.25
 _REQUEST_LIMIT_S: Final = 30.0
 _STOP_LIMIT_S: Final = 20.0
 _PAUSE_BETWEEN_JOBS_S: Final = 0.1
-# All control hosts, so that the leader is among them.
+# Includes all control hosts, so that the leader is among them.
 _STOPPED_IN_TURN: Final = (
     'entry-2',
     'agent-1',
@@ -62,19 +66,19 @@
 }
 
 
-def _jobs() -> Sequence[TraceJob]:
-    """Draw jobs of both clients, short enough for a test."""
+def _make_jobs() -> Sequence[TraceJob]:
+    """Return a short trace with jobs of both clients."""
     phases = (ArrivalPhase(0.0, 20.0, 1.0),)
     shape = TraceShape(_AGENTS * _SLOTS, phases)
     return generate_trace(_SEED, shape)[:_JOBS]
 
 
 class _Balancer:
-    """Hands out entries in turn, as the platform's balancer would."""
+    """Selects entries round-robin, as the platform's balancer does."""
 
     def __init__(self, launcher: Launcher) -> None:
         self._lock = threading.Lock()
-        self._turn = itertools.cycle(
+        self._addresses = itertools.cycle(
             [
                 launcher.http_address(name)
                 for name in launcher.names_with_role('entry')
@@ -82,20 +86,20 @@
         )
 
     def next_address(self) -> str:
-        """Return where the next request goes."""
+        """Return the entry address for the next request."""
         with self._lock:
-            return next(self._turn)
+            return next(self._addresses)
 
 
 def _submit(job: TraceJob, balancer: _Balancer) -> Outcome:
-    """Submit a job until it has an end other than a refusal.
+    """Submit a job until it ends otherwise than refused or unanswered.
 
-    What was refused has not run, and a lost job may be resubmitted under
-    its identifier, so both go to the next entry.
+    A refused job hasn't run, and an unanswered one may be resubmitted
+    under its identifier, so both are sent to the next entry.
     """
     identifier = f'{job.client}.{time.time_ns() // 1_000_000}.{job.number}'
     outcome = Outcome(job, identifier, End.NO_ANSWER, 0.0, 0.0)
-    for _ in range(_MOST_ATTEMPTS):
+    for _ in range(_MAX_ATTEMPTS):
         client = WebClient(balancer.next_address())
         try:
             response = client.request(
@@ -116,7 +120,7 @@
 
 
 class TestWholePath(unittest.TestCase):
-    """Every caller gets its own whole answer while processes come and go."""
+    """Every caller gets its own whole answer while processes restart."""
 
     def test_planned_stops_lose_no_answer(self) -> None:
         with Launcher.from_plan(_PLAN) as launcher:
@@ -130,8 +134,8 @@
                 statuses = stops.result(timeout=6 * _STOP_LIMIT_S)
             self.assertEqual(dict.fromkeys(_STOPPED_IN_TURN, 0), statuses)
             self.assertEqual(_JOBS, len(outcomes))
-            wrong = [o for o in outcomes if o.end is not End.WHOLE]
-            self.assertEqual([], wrong)
+            not_whole = [o for o in outcomes if o.end is not End.WHOLE]
+            self.assertEqual([], not_whole)
             counts.refresh()
             starts = counts.starts_by_task({o.identifier for o in outcomes})
             self.assertEqual([], [task for task in starts if starts[task] > 1])
@@ -149,7 +153,7 @@
 def _submit_all(pool: ThreadPoolExecutor, launcher: Launcher) -> list[Outcome]:
     balancer = _Balancer(launcher)
     futures = []
-    for job in _jobs():
+    for job in _make_jobs():
         futures.append(pool.submit(_submit, job, balancer))
         time.sleep(_PAUSE_BETWEEN_JOBS_S)
     return [future.result() for future in futures]
@@ -158,7 +162,7 @@
 def _stop_each_in_turn(
     launcher: Launcher, counts: StandInCounts
 ) -> dict[str, int]:
-    """Stop one process of each role and start it again; exit statuses."""
+    """Stop and restart each process in turn; return exit statuses by name."""
     status_by_name = {}
     for name in _STOPPED_IN_TURN:
         time.sleep(1.0)
