--- a/tools/bench/_report.py
+++ b/tools/bench/_report.py
@@ -124,12 +124,12 @@
     """
     round_trip_s = run.empty_round_trip_s
     slowdowns = [
-        outcome.response_s / (outcome.job.longest_s + round_trip_s)
+        outcome.response_s / (outcome.job.longest_task_s + round_trip_s)
         for outcome in run.outcomes
         if outcome.end is End.WHOLE
     ]
     overheads_ms = [
-        (outcome.response_s - outcome.job.longest_s - round_trip_s) * 1000
+        (outcome.response_s - outcome.job.longest_task_s - round_trip_s) * 1000
         for outcome in run.outcomes
         if outcome.end is End.WHOLE
     ]
@@ -138,7 +138,7 @@
         baseline_s_by_number = omniscient_responses(run.jobs, run.slots)
     baseline_slowdowns = [
         (baseline_s_by_number[job.number] + round_trip_s)
-        / (job.longest_s + round_trip_s)
+        / (job.longest_task_s + round_trip_s)
         for job in run.jobs
         if job.number in baseline_s_by_number
     ]
--- a/tools/bench/_trace.py
+++ b/tools/bench/_trace.py
@@ -79,7 +79,7 @@
     cancel_s: float | None = None
 
     @property
-    def longest_s(self) -> float:
+    def longest_task_s(self) -> float:
         """The true run time of the longest task, in seconds."""
         return max(task.true_ms for task in self.tasks) / 1000.0
 
--- a/tools/tests/test_trace.py
+++ b/tools/tests/test_trace.py
@@ -60,7 +60,7 @@
         phases = (ArrivalPhase(0.0, 1.0, 1.0),)
         shape = TraceShape(88, phases, deadline_stretch=3.0)
         for job in generate_trace(7, shape):
-            expected_ms = 3000 * job.longest_s + 500
+            expected_ms = 3000 * job.longest_task_s + 500
             self.assertAlmostEqual(expected_ms, job.deadline_ms, delta=1)
 
     def test_wide(self) -> None:
