--- a/tools/bench/_answers.py
+++ b/tools/bench/_answers.py
@@ -79,7 +79,7 @@
     }
 
 
-def judge(
+def classify_response(
     job: TraceJob,
     identifier: str,
     response: WebResponse,
--- a/tools/bench/_load_generator.py
+++ b/tools/bench/_load_generator.py
@@ -13,8 +13,8 @@
 
 from baobabgap import ConnectionLost
 from baobabgap.web import WebClient
+from tools.bench._answers import classify_response
 from tools.bench._answers import End
-from tools.bench._answers import judge
 from tools.bench._answers import Outcome
 from tools.bench._answers import submission_document
 from tools.bench._trace import TraceJob
@@ -136,7 +136,7 @@
             )
         response_s = time.perf_counter() - sent_at
         self._idle_by_address[address].put(client)
-        return judge(job, identifier, response, sent_s, response_s)
+        return classify_response(job, identifier, response, sent_s, response_s)
 
     def _cancel(self, address: str, identifier: str) -> None:
         client = self._take_client(address)
--- a/tools/matrix/_callers.py
+++ b/tools/matrix/_callers.py
@@ -9,8 +9,8 @@
 
 from baobabgap import ConnectionLost
 from baobabgap.web import WebClient
+from tools.bench._answers import classify_response
 from tools.bench._answers import End
-from tools.bench._answers import judge
 from tools.bench._answers import Outcome
 from tools.bench._answers import submission_document
 from tools.bench._trace import TraceJob
@@ -131,7 +131,7 @@
             return Outcome(job, identifier, End.NO_ANSWER, 0.0, 0.0)
         finally:
             client.close()
-        return judge(job, identifier, response, 0.0, 0.0)
+        return classify_response(job, identifier, response, 0.0, 0.0)
 
 
 def _draw_job(chance: random.Random, number: int) -> TraceJob:
--- a/tools/tests/test_answers.py
+++ b/tools/tests/test_answers.py
@@ -5,8 +5,8 @@
 import unittest
 
 from baobabgap.web import WebResponse
+from tools.bench._answers import classify_response
 from tools.bench._answers import End
-from tools.bench._answers import judge
 from tools.bench._answers import task_payload
 from tools.bench._trace import TraceJob
 from tools.bench._trace import TraceTask
@@ -66,12 +66,14 @@
             with self.subTest(name):
                 body = json.dumps(document).encode()
                 response = WebResponse(200, {'retry-after': '1'}, body)
-                outcome = judge(_JOB, _OWN, response, 0.0, 0.9)
+                outcome = classify_response(_JOB, _OWN, response, 0.0, 0.9)
                 self.assertEqual(expected, outcome.end)
                 self.assertTrue(outcome.has_retry_after)
                 self.assertEqual(expected is End.WHOLE, outcome.met_deadline)
 
     def test_late_answer_misses_deadline(self) -> None:
         body = json.dumps(_whole(*map(_result, _TASKS))).encode()
-        outcome = judge(_JOB, _OWN, WebResponse(200, {}, body), 0.0, 1.1)
+        outcome = classify_response(
+            _JOB, _OWN, WebResponse(200, {}, body), 0.0, 1.1
+        )
         self.assertFalse(outcome.met_deadline)
--- a/tools/tests/test_whole_path.py
+++ b/tools/tests/test_whole_path.py
@@ -14,8 +14,8 @@
 
 from baobabgap import ConnectionLost
 from baobabgap.web import WebClient
+from tools.bench._answers import classify_response
 from tools.bench._answers import End
-from tools.bench._answers import judge
 from tools.bench._answers import Outcome
 from tools.bench._answers import submission_document
 from tools.bench._reading import StandInCounts
@@ -108,7 +108,7 @@
                 submission_document(job, identifier),
                 timeout_s=_REQUEST_LIMIT_S,
             )
-            outcome = judge(job, identifier, response, 0.0, 0.0)
+            outcome = classify_response(job, identifier, response, 0.0, 0.0)
         except ConnectionLost:
             outcome = Outcome(job, identifier, End.NO_ANSWER, 0.0, 0.0)
         finally:
