--- a/tools/bench/_faults.py
+++ b/tools/bench/_faults.py
@@ -10,7 +10,7 @@
 from tools.bench._cases import Fault
 from tools.bench._cases import KillUpstream
 from tools.bench._cases import StopUpstream
-from tools.bench._reading import StandInCounts
+from tools.bench._counters import StandInCounts
 from tools.launcher import Launcher
 
 _TARGET_STAND_IN: Final = 'stand-in-1'
--- a/tools/bench/_report.py
+++ b/tools/bench/_report.py
@@ -10,9 +10,9 @@
 
 from tools.bench._answers import End
 from tools.bench._answers import Outcome
+from tools.bench._counters import CounterSnapshot
 from tools.bench._omniscient import omniscient_responses
 from tools.bench._omniscient import quantile
-from tools.bench._reading import CounterSnapshot
 from tools.bench._trace import TraceJob
 
 
--- a/tools/bench/_run.py
+++ b/tools/bench/_run.py
@@ -12,11 +12,11 @@
 from tools.bench._cases import Case
 from tools.bench._cases import PolicyChoice
 from tools.bench._cases import SLOTS
+from tools.bench._counters import CounterSnapshot
+from tools.bench._counters import StandInCounts
 from tools.bench._faults import FaultInjector
 from tools.bench._load_generator import LoadGenerator
 from tools.bench._machine import MachineUsage
-from tools.bench._reading import CounterSnapshot
-from tools.bench._reading import StandInCounts
 from tools.bench._report import CaseRun
 from tools.bench._report import report_line
 from tools.bench._trace import TEAMS_BY_CLIENT
--- a/tools/matrix/_checks.py
+++ b/tools/matrix/_checks.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from tools.bench._answers import End
-from tools.bench._reading import StandInCounts
+from tools.bench._counters import StandInCounts
 from tools.matrix._callers import CalledJob
 from tools.matrix._deployment import Deployment
 from tools.matrix._deployment import wait_until
--- a/tools/matrix/_run.py
+++ b/tools/matrix/_run.py
@@ -9,7 +9,7 @@
 
 from baobabgap import BaobabgapError
 from tools.bench._answers import End
-from tools.bench._reading import StandInCounts
+from tools.bench._counters import StandInCounts
 from tools.launcher import LaunchError
 from tools.matrix._callers import CalledJob
 from tools.matrix._callers import Callers
--- a/tools/tests/test_matrix.py
+++ b/tools/tests/test_matrix.py
@@ -6,7 +6,7 @@
 
 from tools.bench._answers import End
 from tools.bench._answers import Outcome
-from tools.bench._reading import StandInCounts
+from tools.bench._counters import StandInCounts
 from tools.bench._trace import TraceJob
 from tools.matrix._callers import CalledJob
 from tools.matrix._cells import Cell
--- a/tools/tests/test_report.py
+++ b/tools/tests/test_report.py
@@ -5,7 +5,7 @@
 
 from tools.bench._answers import End
 from tools.bench._answers import Outcome
-from tools.bench._reading import CounterSnapshot
+from tools.bench._counters import CounterSnapshot
 from tools.bench._report import CaseRun
 from tools.bench._report import report_line
 from tools.bench._report import slope_line
--- a/tools/tests/test_whole_path.py
+++ b/tools/tests/test_whole_path.py
@@ -18,7 +18,7 @@
 from tools.bench._answers import End
 from tools.bench._answers import Outcome
 from tools.bench._answers import submission_document
-from tools.bench._reading import StandInCounts
+from tools.bench._counters import StandInCounts
 from tools.bench._trace import ArrivalPhase
 from tools.bench._trace import generate_trace
 from tools.bench._trace import TraceJob
