--- a/tools/bench/_answers.py
+++ b/tools/bench/_answers.py
@@ -47,7 +47,7 @@
 
     @property
     def met_deadline(self) -> bool:
-        """Whether all results arrived is_in_time the deadline."""
+        """Whether all results arrived within the deadline."""
         is_in_time = self.response_s * 1000.0 <= self.job.deadline_ms
         return self.end is End.WHOLE and is_in_time
 
--- a/tools/bench/_trace.py
+++ b/tools/bench/_trace.py
@@ -2,8 +2,8 @@
 
 A trace depends only on its seed and shape, so that all policies get the
 same work. Run times follow the kind of task. Declared run times are off
-by a factor of up to five: a bias that is constant for a client and kind,
-times a random error of each task.
+by a bias that is constant for a client and kind, times a random error of
+each task; their product is limited to a factor of five.
 """
 
 from dataclasses import dataclass
@@ -118,7 +118,7 @@
     phases: tuple[ArrivalPhase, ...]
     waves: tuple[CancelWave, ...] = ()
     # The deadline is the longest task's true run time times this factor,
-    # plus `deadline_margin_ms`. None sets a deadline that no job misses.
+    # plus `deadline_margin_ms`. None sets one that never matters.
     deadline_stretch: float | None = None
     deadline_margin_ms: int = 500
 
--- a/tools/tests/test_answers.py
+++ b/tools/tests/test_answers.py
@@ -60,7 +60,7 @@
             'failed': (_failure('failed', 'task_lost'), End.FAILED),
             'cancelled': (_failure('failed', 'cancelled'), End.CANCELLED),
             'pending': ({'state': 'pending'}, End.NO_ANSWER),
-            'empty document': (None, End.NO_ANSWER),
+            'null document': (None, End.NO_ANSWER),
         }
         for name, (document, expected) in cases.items():
             with self.subTest(name):
