--- a/tools/tests/test_trace.py
+++ b/tools/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Tests of the trace generator: seeded, and as it was asked for."""
+"""Tests of the trace generator."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 from tools.bench._trace import CancelWave
 from tools.bench._trace import generate_trace
 from tools.bench._trace import generate_wide_trace
-from tools.bench._trace import LARGEST_ERROR
+from tools.bench._trace import MAX_ERROR_FACTOR
 from tools.bench._trace import TraceShape
 
 _SHAPE = TraceShape(
@@ -17,9 +17,9 @@
 
 
 class TestGenerateTrace(unittest.TestCase):
-    """The same seed gives the same trace, of the shape asked for."""
+    """A trace is reproducible from its seed and matches its shape."""
 
-    def test_seeded(self) -> None:
+    def test_same_seed_gives_same_trace(self) -> None:
         first = generate_trace(7, _SHAPE)
         self.assertEqual(first, generate_trace(7, _SHAPE))
         self.assertNotEqual(first, generate_trace(8, _SHAPE))
@@ -45,8 +45,8 @@
         self.assertTrue(all(50 <= task.true_ms <= 6000 for task in tasks))
         self.assertTrue(any(task.true_ms > 2000 for task in tasks))
         errors = [task.declared_ms / task.true_ms for task in tasks]
-        self.assertLessEqual(max(errors), LARGEST_ERROR * 1.02)
-        self.assertGreaterEqual(min(errors), 0.98 / LARGEST_ERROR)
+        self.assertLessEqual(max(errors), MAX_ERROR_FACTOR * 1.02)
+        self.assertGreaterEqual(min(errors), 0.98 / MAX_ERROR_FACTOR)
 
     def test_cancel_waves(self) -> None:
         jobs = generate_trace(7, _SHAPE)
@@ -60,8 +60,8 @@
         phases = (ArrivalPhase(0.0, 1.0, 1.0),)
         shape = TraceShape(88, phases, deadline_stretch=3.0)
         for job in generate_trace(7, shape):
-            wanted_ms = 3000 * job.longest_s + 500
-            self.assertAlmostEqual(wanted_ms, job.deadline_ms, delta=1)
+            expected_ms = 3000 * job.longest_task_s + 500
+            self.assertAlmostEqual(expected_ms, job.deadline_ms, delta=1)
 
     def test_wide(self) -> None:
         jobs = generate_wide_trace(jobs=3, tasks=100, pause_s=0.5)
