--- a/tools/job_history/_cells.py
+++ b/tools/job_history/_cells.py
@@ -169,10 +169,10 @@
 
 
 def _hurt_disk(victim: ControlProcess, fault: DiskFault) -> Callable[[], None]:
-    victim.order_disk(fault)
+    victim.set_disk_fault(fault)
 
     def mend() -> None:
-        victim.order_disk(None)
+        victim.set_disk_fault(None)
         # A host that has lost a write may have ended, or takes no more.
         victim.kill()
         victim.start()
--- a/tools/job_history/_control_group.py
+++ b/tools/job_history/_control_group.py
@@ -13,8 +13,8 @@
 
 from baobabgap.dispatch.tests.deployment import free_port
 from baobabgap.dispatch.tests.deployment import HOST
+from tools.matrix import disk_fault_file
 from tools.matrix import DiskFault
-from tools.matrix import order_file
 
 _ANSWER_LIMIT_S: Final = 5.0
 _START_LIMIT_S: Final = 30.0
@@ -28,7 +28,7 @@
         self.name: Final = name
         self._document = json.dumps(document)
         self._log = folder / f'{name}.out'
-        self._disk_orders = order_file(folder / name)
+        self._disk_orders = disk_fault_file(folder / name)
         self._child: subprocess.Popen[str] | None = None
         self._answers: queue.Queue[list[Any]] = queue.Queue()
         self._lock = threading.Lock()
@@ -75,7 +75,7 @@
         if self._child is not None:
             self._child.send_signal(number)
 
-    def order_disk(self, fault: DiskFault | None) -> None:
+    def set_disk_fault(self, fault: DiskFault | None) -> None:
         """Have the disk fail from now on, or work again."""
         if fault is None:
             self._disk_orders.unlink(missing_ok=True)
--- a/tools/matrix/__init__.py
+++ b/tools/matrix/__init__.py
@@ -1,6 +1,6 @@
-"""The fault matrix: every fault at every named step, on real processes."""
+"""Injects every fault at every named step into real processes."""
 
+from tools.matrix._disk import disk_fault_file
 from tools.matrix._disk import DiskFault
-from tools.matrix._disk import order_file
 
-__all__ = ['DiskFault', 'order_file']
+__all__ = ['DiskFault', 'disk_fault_file']
--- a/tools/matrix/__main__.py
+++ b/tools/matrix/__main__.py
@@ -1,4 +1,4 @@
-"""The matrix's command line; `make matrix` calls it.
+"""Command line of the fault matrix, called by `make matrix`.
 
 python -m tools.matrix --steps claim,ticket --faults kill --seed 1
 """
@@ -20,13 +20,13 @@
 from tools.matrix._run import run_cells
 
 _DEFAULT_SEED: Final = 1
-_STEPS_AT_ONCE: Final = 3
+_CONCURRENT_STEPS: Final = 3
 
 
 def main() -> int:
     """Run the chosen cells; the exit status is 1 if any is red."""
-    # So that the processes are ended also when the matrix is.
-    signal.signal(signal.SIGTERM, _exit)
+    # Unwinds the stack on SIGTERM, so that the child processes are ended.
+    signal.signal(signal.SIGTERM, _exit_on_signal)
     arguments = _parser().parse_args()
     steps = [Step(name) for name in _names(arguments.steps)] or list(Step)
     faults = [Fault(name) for name in _names(arguments.faults)] or list(Fault)
@@ -40,7 +40,7 @@
 
 
 def _run(steps: list[Step], faults: list[Fault], seed: int) -> list[Result]:
-    """Run a few steps at once, each on deployments of its own."""
+    """Run a few steps concurrently, each on its own deployments."""
     lock = threading.Lock()
 
     def report(result: Result) -> None:
@@ -51,8 +51,12 @@
         cells = [cell for cell in cells_of(step) if cell.fault in faults]
         return run_cells(cells, seed, report)
 
-    with ThreadPoolExecutor(_STEPS_AT_ONCE) as pool:
-        return [one for some in pool.map(run_step, steps) for one in some]
+    with ThreadPoolExecutor(_CONCURRENT_STEPS) as pool:
+        return [
+            result
+            for step_results in pool.map(run_step, steps)
+            for result in step_results
+        ]
 
 
 def _names(text: str) -> list[str]:
@@ -67,7 +71,7 @@
     return parser
 
 
-def _exit(number: int, frame: FrameType | None) -> None:
+def _exit_on_signal(number: int, frame: FrameType | None) -> None:
     sys.exit(128 + number)
 
 
--- a/tools/matrix/_callers.py
+++ b/tools/matrix/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that submit jobs while faults come and go."""
+"""Callers that submit jobs while faults are injected."""
 
 from dataclasses import dataclass
 from dataclasses import field
@@ -17,107 +17,109 @@
 from tools.bench._trace import TraceTask
 from tools.matrix._deployment import Deployment
 
-_CALLERS: Final = 4
+_CALLER_COUNT: Final = 4
 _DEADLINE_MS: Final = 5_000
-# Less than a fault lasts, so that what it holds up is resubmitted while
-# it lasts.
-_PATIENCE_S: Final = 1.2
-_JOB_LIMIT_S: Final = 40.0
+# Shorter than a fault, so that a job that the fault delays is resubmitted
+# during the fault.
+_REQUEST_TIMEOUT_S: Final = 1.2
+_JOB_TIMEOUT_S: Final = 40.0
 _RETRY_PAUSE_S: Final = 0.2
 _PAUSE_BETWEEN_JOBS_S: Final = 0.03
-_SHORTEST_MS: Final = 20
-_LONGEST_MS: Final = 150
-_MOST_TASKS: Final = 4
+_MIN_TASK_MS: Final = 20
+_MAX_TASK_MS: Final = 150
+_MAX_TASKS: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
 class CalledJob:
-    """One job and all that its caller was told about it."""
+    """One job and the outcomes of all attempts to submit it."""
 
     identifier: str
     attempts: list[Outcome] = field(default_factory=list)
 
     @property
     def end(self) -> End:
-        """The last that the caller was told."""
+        """The end that the caller saw last."""
         return self.attempts[-1].end
 
     @property
     def never_admitted(self) -> bool:
-        """Whether every attempt was refused as not run."""
+        """Whether every attempt was refused, so that no task may have run."""
         return all(one.end is End.REFUSED for one in self.attempts)
 
 
 class Callers:
-    """A few callers, each with one job after the other."""
+    """Several concurrent callers; each submits one job after the other."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self._deployment = deployment
         self._seed = seed
         self._lock = threading.Lock()
-        self._numbers = 0
-        self._called: list[CalledJob] = []
-        self._over = threading.Event()
+        self._last_number = 0
+        self._jobs: list[CalledJob] = []
+        self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
 
     def start(self) -> None:
-        """Begin to submit."""
-        self._over.clear()
+        """Start the callers."""
+        self._stopping.clear()
         self._threads = [
             threading.Thread(target=self._run, args=(n,), daemon=True)
-            for n in range(_CALLERS)
+            for n in range(_CALLER_COUNT)
         ]
         for thread in self._threads:
             thread.start()
 
     def finish(self) -> list[CalledJob]:
-        """Wait until all jobs have ended; return those since the start."""
-        self._over.set()
+        """Wait until all jobs have ended; return those since `start`."""
+        self._stopping.set()
         for thread in self._threads:
-            thread.join(_JOB_LIMIT_S + 2 * _PATIENCE_S)
-        called, self._called = self._called, []
-        return called
+            thread.join(_JOB_TIMEOUT_S + 2 * _REQUEST_TIMEOUT_S)
+        jobs, self._jobs = self._jobs, []
+        return jobs
 
     def submit_one(self, entry: str) -> CalledJob:
-        """Submit one job, first to this entry, until it has an end."""
+        """Submit one job, first to this entry, until it has ended."""
         with self._lock:
-            self._numbers += 1
-            number = self._numbers
+            self._last_number += 1
+            number = self._last_number
         job = _draw_job(random.Random(f'{self._seed}/{number}'), number)
         identifier = f'{job.client}.{time.time_ns() // 1_000_000}.{number}'
-        called = CalledJob(identifier)
-        self._attempt(job, called, entry)
+        submitted_job = CalledJob(identifier)
+        self._submit_until_ended(job, submitted_job, entry)
         with self._lock:
-            self._called.append(called)
-        return called
+            self._jobs.append(submitted_job)
+        return submitted_job
 
     def _run(self, number: int) -> None:
-        turn = number
+        entry_index = number
         entries = self._deployment.entries
-        while not self._over.is_set():
-            self.submit_one(entries[turn % len(entries)])
-            turn += 1
+        while not self._stopping.is_set():
+            self.submit_one(entries[entry_index % len(entries)])
+            entry_index += 1
             time.sleep(_PAUSE_BETWEEN_JOBS_S)
 
-    def _attempt(self, job: TraceJob, called: CalledJob, entry: str) -> None:
-        """Submit until there is an end other than a refusal.
+    def _submit_until_ended(
+        self, job: TraceJob, submitted_job: CalledJob, entry: str
+    ) -> None:
+        """Submit until the job ends otherwise than by a refusal.
 
-        A lost job is resubmitted under its identifier, through the other
-        entry; so is one that was refused.
+        A job that was refused or got no answer is resubmitted with the
+        same identifier, through the other entry.
         """
         entries = self._deployment.entries
-        turn = entries.index(entry)
-        give_up_at = time.monotonic() + _JOB_LIMIT_S
+        entry_index = entries.index(entry)
+        give_up_at = time.monotonic() + _JOB_TIMEOUT_S
         while True:
-            name = entries[turn % len(entries)]
-            outcome = self._submit(job, called.identifier, name)
-            called.attempts.append(outcome)
-            is_open = outcome.end in (End.REFUSED, End.NO_ANSWER)
-            # Its end is kept; a resubmission would only be told again.
+            name = entries[entry_index % len(entries)]
+            outcome = self._submit(job, submitted_job.identifier, name)
+            submitted_job.attempts.append(outcome)
+            may_retry = outcome.end in (End.REFUSED, End.NO_ANSWER)
+            # The entries keep this end and repeat it to a resubmission.
             is_final = outcome.code == 'deadline'
-            if not is_open or is_final or time.monotonic() > give_up_at:
+            if not may_retry or is_final or time.monotonic() > give_up_at:
                 return
-            turn += 1
+            entry_index += 1
             time.sleep(_RETRY_PAUSE_S)
 
     def _submit(self, job: TraceJob, identifier: str, entry: str) -> Outcome:
@@ -125,7 +127,7 @@
         document = submission_document(job, identifier)
         try:
             response = client.request(
-                'POST', '/v1/jobs', document, timeout_s=_PATIENCE_S
+                'POST', '/v1/jobs', document, timeout_s=_REQUEST_TIMEOUT_S
             )
         except ConnectionLost:
             return Outcome(job, identifier, End.NO_ANSWER, 0.0, 0.0)
@@ -134,13 +136,11 @@
         return judge(job, identifier, response, 0.0, 0.0)
 
 
-def _draw_job(chance: random.Random, number: int) -> TraceJob:
-    client, team = chance.choice(
-        (('etnavapore', 'drilling'), ('kurek', 'clubs'))
-    )
+def _draw_job(rng: random.Random, number: int) -> TraceJob:
+    client, team = rng.choice((('etnavapore', 'drilling'), ('kurek', 'clubs')))
     tasks = []
-    for n in range(chance.randint(1, _MOST_TASKS)):
-        run_time_ms = chance.randint(_SHORTEST_MS, _LONGEST_MS)
+    for n in range(rng.randint(1, _MAX_TASKS)):
+        run_time_ms = rng.randint(_MIN_TASK_MS, _MAX_TASK_MS)
         tasks.append(
             TraceTask(f't{n}', 'lane_check', float(run_time_ms), run_time_ms)
         )
--- a/tools/matrix/_cells.py
+++ b/tools/matrix/_cells.py
@@ -1,4 +1,4 @@
-"""The cells of the matrix: steps, faults, and what they come to."""
+"""The cells of the matrix: steps, faults and their results."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,55 +6,55 @@
 
 
 class Step(StrEnum):
-    """A step at which a fault is injected, and whom it hits."""
+    """A step at which a fault is injected, and the process it affects."""
 
-    # An entry has just taken a job.
+    # An entry has just received a job.
     SUBMIT = 'submit'
-    # The control leader has just been asked for a claim.
+    # The control leader has just received a claim.
     CLAIM = 'claim'
-    # An entry has just learned that a job is its own.
+    # An entry has just been granted the claim on a job.
     PLACE = 'place'
-    # An agent has just got tasks to start.
+    # An agent has just received tasks to start.
     START = 'start'
-    # An agent has just finished tasks; the fault hits the entry.
+    # An agent has just finished tasks; the fault affects the entry.
     ANSWER = 'answer'
     # The control leader has just been sent a ticket.
     TICKET = 'ticket'
-    # The leader is gone; the fault hits the host that seeks election.
+    # The leader was killed; the fault affects the host that seeks election.
     ELECTION = 'election'
-    # A control host writes a snapshot.
+    # A control host is writing a snapshot.
     SNAPSHOT = 'snapshot'
-    # A control host that lost its disk gets the state anew.
+    # A control host that lost its disk receives the state again.
     REPAIR = 'repair'
 
 
 class Fault(StrEnum):
-    """What goes wrong."""
+    """A fault that is injected into a process."""
 
-    # The process ends without any farewell and is started again.
+    # The process is killed and restarted.
     KILL = 'kill'
-    # The process stops running for a while.
+    # The process is suspended and resumed.
     FREEZE = 'freeze-and-thaw'
-    # Links of the process go silent in one direction, yet stay open.
+    # The process's links stay open, but lose all data in one direction.
     CUT_ONE_WAY = 'silent-cut-one-way'
-    # Links of the process go silent in both directions, yet stay open.
+    # The process's links stay open, but lose all data in both directions.
     CUT_BOTH_WAYS = 'silent-cut-both-ways'
-    # The process ends and its disk is empty at the next start.
+    # The process is killed and restarted with an empty disk.
     LOST_DISK = 'lost-disk'
-    # Writes are refused half-way for a while.
+    # For a while, each write stores half of its data and fails.
     FULL_DISK = 'full-disk'
-    # Half of a write reaches the disk as the host loses power.
+    # The host loses power when half of a write has reached the disk.
     TORN_WRITE = 'torn-write'
-    # Every sync takes long for a while.
+    # For a while, every sync is slow.
     SLOW_SYNC = 'slow-sync'
     # A second process is killed right after the first.
     DOUBLE = 'double-fault'
-    # The process misses hundreds of changes before it is started again.
+    # The process misses more than a hundred changes before its restart.
     FAR_BEHIND = 'restart-far-behind'
 
 
 class Verdict(StrEnum):
-    """What a cell came to."""
+    """The outcome of a cell."""
 
     HELD = 'held'
     RED = 'RED'
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One fault at one step."""
+    """One fault injected at one step."""
 
     step: Step
     fault: Fault
@@ -71,12 +71,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What a cell came to, and why."""
+    """The verdict on a cell and the reason for it."""
 
     cell: Cell
     verdict: Verdict
     seed: int
-    # What was seen of a red cell, or why a cell was not run.
+    # The problems of a red cell, or why a cell was not run.
     reason: str = ''
 
     def line(self) -> str:
@@ -92,7 +92,7 @@
     Fault.TORN_WRITE,
     Fault.SLOW_SYNC,
 )
-# Why a disk fault has no meaning at a step.
+# Why disk faults do not apply to a step.
 _DISKLESS_REASON_BY_STEP: Final = {
     Step.SUBMIT: 'an entry keeps nothing on a disk; see claim',
     Step.PLACE: 'placing writes nothing; the entry has no disk',
@@ -102,7 +102,7 @@
 
 
 def reason_not_to_run(cell: Cell) -> str:
-    """Say why a cell has no meaning; empty if it has one."""
+    """Return why a fault does not apply to its step, or an empty string."""
     if cell.fault in _DISK_FAULTS:
         return _DISKLESS_REASON_BY_STEP.get(cell.step, '')
     return ''
--- a/tools/matrix/_checks.py
+++ b/tools/matrix/_checks.py
@@ -1,4 +1,4 @@
-"""What must hold once a fault has been mended."""
+"""Checks of a deployment after a fault has ended."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -9,34 +9,34 @@
 from tools.matrix._callers import CalledJob
 from tools.matrix._deployment import Deployment
 from tools.matrix._deployment import wait_until
-from tools.matrix._deployment import WaitedInVain
+from tools.matrix._deployment import WaitTimeout
 
-_WHOLE_LIMIT_S: Final = 30.0
-_IN_FORCE_LIMIT_S: Final = 5.0
+_RECOVERY_TIMEOUT_S: Final = 30.0
+_IN_FORCE_TIMEOUT_S: Final = 5.0
 _VERSION_GAUGE: Final = 'baobabgap_configuration_version'
-_GOOD_ENDS: Final = (End.WHOLE, End.FAILED, End.REFUSED)
+_VALID_ENDS: Final = (End.WHOLE, End.FAILED, End.REFUSED)
 
 
-def wait_until_repaired(deployment: Deployment) -> None:
-    """Wait until every process works and every control host votes."""
+def wait_until_recovered(deployment: Deployment) -> None:
+    """Wait until all processes are ready and all control hosts vote."""
     wait_until(
         lambda: all(map(deployment.launcher.is_ready, deployment.entries)),
         'both entries are ready',
-        _WHOLE_LIMIT_S,
+        _RECOVERY_TIMEOUT_S,
     )
     wait_until(
         lambda: all(map(deployment.launcher.is_ready, deployment.agents)),
         'all agents are ready',
-        _WHOLE_LIMIT_S,
+        _RECOVERY_TIMEOUT_S,
     )
     wait_until(
-        lambda: _group_is_whole(deployment),
+        lambda: _group_has_recovered(deployment),
         'three control hosts vote and have what is committed',
-        _WHOLE_LIMIT_S,
+        _RECOVERY_TIMEOUT_S,
     )
 
 
-def _group_is_whole(deployment: Deployment) -> bool:
+def _group_has_recovered(deployment: Deployment) -> bool:
     pages = [deployment.health(name) for name in deployment.controls]
     if not all(pages):
         return False
@@ -45,14 +45,14 @@
     if len(leaders) != 1:
         return False
     members = leaders[0]['members']
-    durable_now = {log['name']: log['durable'] for log in logs}
+    durable_index_by_name = {log['name']: log['durable'] for log in logs}
     return (
         len(members) == len(logs)
         and all(member['voter'] for member in members)
         and all(log['storage_ok'] for log in logs)
-        # What was on its way at the moment of reading may be missing.
+        # Entries that were in flight when the page was read may be missing.
         and all(
-            durable_now[member['name']] >= leaders[0]['first_index']
+            durable_index_by_name[member['name']] >= leaders[0]['first_index']
             for member in members
         )
         and all(log['term'] == leaders[0]['term'] for log in logs)
@@ -60,18 +60,16 @@
     )
 
 
-def check_jobs(
-    called: list[CalledJob], counts: StandInCounts
-) -> Iterator[str]:
-    """Yield what is wrong with the ends and starts of jobs."""
+def check_jobs(jobs: list[CalledJob], counts: StandInCounts) -> Iterator[str]:
+    """Yield problems with the ends and task starts of jobs."""
     counts.refresh()
-    starts = counts.starts_by_task({job.identifier for job in called})
+    starts = counts.starts_by_task({job.identifier for job in jobs})
     for (identifier, task), number in starts.items():
         if number > 1:
             yield f'{identifier}/{task} was started {number} times'
     started_jobs = {job for job, _ in starts}
-    for job in called:
-        if job.end not in _GOOD_ENDS:
+    for job in jobs:
+        if job.end not in _VALID_ENDS:
             yield f'{job.identifier} ended as {job.end}'
         if any(
             one.end in (End.PARTIAL, End.WRONG_CALLER) for one in job.attempts
@@ -82,12 +80,12 @@
 
 
 def check_tickets(deployment: Deployment) -> Iterator[str]:
-    """Yield what is wrong with the accepted tickets."""
+    """Yield problems with the accepted tickets."""
     accepted = deployment.accepted_state_by_number
-    wanted: dict[str, tuple[int, Any]] = {}
+    expected: dict[str, tuple[int, Any]] = {}
     for number in sorted(accepted):
         for key, value in accepted[number].items():
-            wanted[key] = (number, value)
+            expected[key] = (number, value)
     for name in deployment.controls:
         newest = deployment.health(name).get('newest_ticket', 0)
         if newest < max(accepted):
@@ -98,7 +96,7 @@
             one['key']: (one['ticket'], one['value'])
             for one in page.get('entries', [])
         }
-        for key, value in wanted.items():
+        for key, value in expected.items():
             if found.get(key) != value:
                 yield f'{key} reads {found.get(key)} at {entry}, not {value}'
     yield from _check_in_force(deployment, max(accepted))
@@ -113,24 +111,24 @@
         return
     for what, lagging in (
         ('is in force at', _lagging_entries),
-        ('is shown by members at', _not_shown),
+        ('is shown by members at', _lagging_members),
     ):
         try:
             wait_until(
                 lambda: not lagging(deployment, versions[0]),  # noqa: B023
                 '',
-                _IN_FORCE_LIMIT_S,
+                _IN_FORCE_TIMEOUT_S,
             )
-        except WaitedInVain:
+        except WaitTimeout:
             found = lagging(deployment, versions[0])
             yield (
-                f'not in {_IN_FORCE_LIMIT_S:g} s: ticket {newest}, version '
+                f'not in {_IN_FORCE_TIMEOUT_S:g} s: ticket {newest}, version '
                 f'{versions[0]}, {what} {found}'
             )
 
 
 def _lagging_entries(deployment: Deployment, version: int) -> dict[str, Any]:
-    """Return the versions that are in force at entries and are older."""
+    """Return the entries whose version in force is older than `version`."""
     lagging = {}
     for name in deployment.entries:
         in_force = deployment.gauge(name, _VERSION_GAUGE)
@@ -139,8 +137,8 @@
     return lagging
 
 
-def _not_shown(deployment: Deployment, version: int) -> dict[str, Any]:
-    """Return the processes for which members shows no such version."""
+def _lagging_members(deployment: Deployment, version: int) -> dict[str, Any]:
+    """Return the members that the members page shows with an older version."""
     page = deployment.page(deployment.entries[0], 'members')
     row_by_name = {row['name']: row for row in page.get('members', [])}
     lagging = {}
--- a/tools/matrix/_daemon.py
+++ b/tools/matrix/_daemon.py
@@ -1,10 +1,10 @@
-"""The daemon with faults at its disk and a name for its connections.
+"""The daemon with injected disk faults and identifiable connections.
 
-The matrix starts this in place of `baobabgap.daemon`. Nothing of the
-product changes but three seams: links are dialled from an address of the
-process's own, so that the relays can tell who dials; what listens where
-a relay stands listens behind it; and the data folder of a control host
-obeys a file of orders.
+The matrix starts this module in place of `baobabgap.daemon`. It patches
+the product in three places: each process opens links from its own source
+address, by which the relays identify it; a listener configured with the
+address of a relay listens behind that relay; and the data folder of a
+control host fails as its disk fault file says.
 """
 
 from collections.abc import Callable
@@ -29,13 +29,13 @@
 from tools.matrix._addresses import LISTEN_HOST
 from tools.matrix._addresses import RELAY_HOST
 from tools.matrix._addresses import source_host
+from tools.matrix._disk import disk_fault_file
 from tools.matrix._disk import DiskFault
-from tools.matrix._disk import order_file
 
 _SLOW_SYNC_S: Final = 0.4
-_KILLED: Final = 137
-# Small, so that snapshots are made and sent within seconds.
-_LIMITS: Final = LogLimits(
+_KILLED_EXIT_STATUS: Final = 137
+# Small, so that snapshots are written and sent within seconds.
+_LOG_LIMITS: Final = LogLimits(
     snapshot_after_bytes=12_000,
     kept_bytes=2_000,
     message_bytes=4_000,
@@ -43,38 +43,38 @@
 )
 
 
-class _OrderedFolder(DiskFolder):
-    """A data folder on the disk that fails when it is told to."""
+class _FaultyFolder(DiskFolder):
+    """A data folder whose files fail as its disk fault file says."""
 
     def __init__(self, path: str, added_sync_delay_s: float = 0.0) -> None:
         super().__init__(path, added_sync_delay_s)
-        self._orders = order_file(Path(path))
+        self._fault_file = disk_fault_file(Path(path))
 
     def open_append(self, name: str) -> AppendFile:
-        """Open a file that obeys the orders."""
-        return _OrderedFile(super().open_append(name), self._orders)
+        """Open a file with injected faults."""
+        return _FaultyFile(super().open_append(name), self._fault_file)
 
 
-class _OrderedFile:
-    """One file of an `_OrderedFolder`."""
+class _FaultyFile:
+    """One file of a `_FaultyFolder`."""
 
-    def __init__(self, file: AppendFile, orders: Path) -> None:
+    def __init__(self, file: AppendFile, fault_file: Path) -> None:
         self._file = file
-        self._orders = orders
+        self._fault_file = fault_file
 
     def append(self, data: bytes) -> None:
-        match self._fault():
+        match self._read_fault():
             case DiskFault.FULL:
                 self._file.append(data[: len(data) // 2])
                 raise OSError(28, 'No space left on device')
             case DiskFault.TORN:
                 self._file.append(data[: len(data) // 2])
-                os._exit(_KILLED)
+                os._exit(_KILLED_EXIT_STATUS)
             case _:
                 self._file.append(data)
 
     def sync(self) -> None:
-        if self._fault() is DiskFault.SLOW:
+        if self._read_fault() is DiskFault.SLOW:
             time.sleep(_SLOW_SYNC_S)
         self._file.sync()
 
@@ -84,14 +84,14 @@
     def close(self) -> None:
         self._file.close()
 
-    def _fault(self) -> DiskFault | None:
+    def _read_fault(self) -> DiskFault | None:
         try:
-            return DiskFault(self._orders.read_text())
+            return DiskFault(self._fault_file.read_text())
         except (OSError, ValueError):
             return None
 
 
-def _behind_relay(listen: Callable[..., Any]) -> Callable[..., Any]:
+def _listen_behind_relay(listen: Callable[..., Any]) -> Callable[..., Any]:
     def serve_behind(handler: Any, host: str, *rest: Any, **named: Any) -> Any:
         if host == RELAY_HOST:
             host = LISTEN_HOST
@@ -101,29 +101,29 @@
 
 
 def install_faulty_disk() -> None:
-    """Have data folders obey orders, and logs compacted often."""
-    seams: list[tuple[Any, str, Any]] = [
-        (_log, 'DiskFolder', _OrderedFolder),
-        (_log, 'LogLimits', lambda: _LIMITS),
+    """Inject disk faults into data folders and compact logs often."""
+    patches: list[tuple[Any, str, Any]] = [
+        (_log, 'DiskFolder', _FaultyFolder),
+        (_log, 'LogLimits', lambda: _LOG_LIMITS),
     ]
-    for module, attribute, replacement in seams:
+    for module, attribute, replacement in patches:
         setattr(module, attribute, replacement)
 
 
-def _install(name: str) -> None:
-    """Put the seams in place of the product's own."""
+def _install_patches(name: str) -> None:
+    """Patch the product's modules for the process with this name."""
     install_faulty_disk()
-    from_own_address = functools.partial(
+    connect_from_own_address = functools.partial(
         connect, source_address=(source_host(name), 0)
     )
-    seams: list[tuple[Any, str, Any]] = [
-        (_dialer, 'connect', from_own_address),
-        (_listener, 'serve', _behind_relay(serve)),
+    patches: list[tuple[Any, str, Any]] = [
+        (_dialer, 'connect', connect_from_own_address),
+        (_listener, 'serve', _listen_behind_relay(serve)),
     ]
-    for module, attribute, replacement in seams:
+    for module, attribute, replacement in patches:
         setattr(module, attribute, replacement)
 
 
 if __name__ == '__main__':
-    _install(Path(sys.argv[-1]).stem)
+    _install_patches(Path(sys.argv[-1]).stem)
     sys.exit(main())
--- a/tools/matrix/_deployment.py
+++ b/tools/matrix/_deployment.py
@@ -19,16 +19,16 @@
 from tools.launcher import read_json
 from tools.matrix._addresses import RELAY_HOST
 from tools.matrix._addresses import source_host
+from tools.matrix._disk import disk_fault_file
 from tools.matrix._disk import DiskFault
-from tools.matrix._disk import order_file
 from tools.matrix._relay import Cut
 from tools.matrix._relay import Relays
 
-REQUEST_LIMIT_S: Final = 6.0
-_PAGE_LIMIT_S: Final = 3.0
-_POLL_PAUSE_S: Final = 0.02
-_FOUNDING_LIMIT_S: Final = 20.0
-_MOST_STARTS: Final = 3
+_TICKET_TIMEOUT_S: Final = 6.0
+_PAGE_TIMEOUT_S: Final = 3.0
+_POLL_INTERVAL_S: Final = 0.02
+_READY_TIMEOUT_S: Final = 20.0
+_MAX_START_ATTEMPTS: Final = 3
 _COMMAND: Final = (sys.executable, '-m', 'tools.matrix._daemon')
 _PLAN: Final = DeploymentPlan(
     control_hosts=3,
@@ -60,25 +60,25 @@
 }
 
 
-class WaitedInVain(Exception):
-    """A condition that did not come true within its limit."""
+class WaitTimeout(Exception):
+    """A condition was not met within its time limit."""
 
 
 def wait_until(
     condition: Callable[[], bool], what: str, limit_s: float
 ) -> None:
-    """Wait for a condition; raise `WaitedInVain` if it stays false."""
+    """Wait for a condition; raise `WaitTimeout` after `limit_s` seconds."""
     give_up_at = time.monotonic() + limit_s
     while not condition():
         if time.monotonic() > give_up_at:
-            raise WaitedInVain(f'not within {limit_s:g} s: {what}')
-        time.sleep(_POLL_PAUSE_S)
+            raise WaitTimeout(f'not within {limit_s:g} s: {what}')
+        time.sleep(_POLL_INTERVAL_S)
 
 
 class Deployment:
-    """Real processes, with relays on all links and disks that obey.
+    """Real processes with relays on all links and injectable disk faults.
 
-    Use it as a context manager; whatever happens, all of it is ended.
+    Use it as a context manager, which ends all processes and relays.
     """
 
     def __init__(self, launcher: Launcher, relays: Relays) -> None:
@@ -95,13 +95,13 @@
     def start(cls) -> Self:
         """Start all processes and wait until jobs can run.
 
-        Tries again where another program took a chosen port meanwhile.
+        Retries if another program has taken one of the chosen ports.
         """
-        for _ in range(_MOST_STARTS - 1):
+        for _ in range(_MAX_START_ATTEMPTS - 1):
             try:
                 return cls._start_once()
             except (LaunchError, OSError):
-                time.sleep(_POLL_PAUSE_S)
+                time.sleep(_POLL_INTERVAL_S)
         return cls._start_once()
 
     @classmethod
@@ -127,7 +127,7 @@
             for port in ports.values():
                 relays.add(port)
             deployment.launcher.start_all()
-            deployment.launcher.wait_until_ready(limit_s=_FOUNDING_LIMIT_S)
+            deployment.launcher.wait_until_ready(limit_s=_READY_TIMEOUT_S)
             deployment.put_ticket('entry-1', _POLICY)
         except BaseException:
             deployment.close()
@@ -141,24 +141,24 @@
         self.close()
 
     def close(self) -> None:
-        """End everything."""
+        """End all processes and relays."""
         self.launcher.close()
         self._relays.close()
 
     # Faults
 
     def cut(self, name: str, *, inbound: bool, outbound: bool) -> None:
-        """Lose in silence what a process receives or sends over links."""
+        """Drop what a process receives or sends, but keep its links open."""
         port = self._port_by_name.get(name, -1)
         self._relays.cut(Cut(source_host(name), port, inbound, outbound))
 
     def heal_cuts(self) -> None:
-        """Let new links pass."""
+        """Stop dropping data on new links."""
         self._relays.heal()
 
-    def order_disk(self, name: str, fault: DiskFault | None) -> None:
-        """Make a control host's disk fail, or mend it."""
-        path = order_file(self.data_folder(name))
+    def set_disk_fault(self, name: str, fault: DiskFault | None) -> None:
+        """Set or clear the fault of a control host's disk."""
+        path = disk_fault_file(self.data_folder(name))
         if fault is None:
             path.unlink(missing_ok=True)
         else:
@@ -170,36 +170,36 @@
         shutil.rmtree(self.data_folder(name), ignore_errors=True)
 
     def kill(self, name: str) -> None:
-        """Kill a process unless it is gone already."""
+        """Kill a process if it is running."""
         if self.launcher.is_running(name):
             self.launcher.kill(name)
 
     def data_folder(self, name: str) -> Path:
-        """Where a control host keeps its log."""
+        """Return the folder that holds a control host's log."""
         return self.launcher.folder / name
 
-    def printed(self, name: str) -> Path:
-        """The file that a process prints its log to."""
+    def output_file(self, name: str) -> Path:
+        """Return the file that holds the output of a process."""
         return self.launcher.folder / f'{name}.out'
 
     # Requests
 
     def health(self, name: str) -> dict[str, Any]:
-        """Ask a control host for its state; empty if it does not answer."""
+        """Return a control host's health page; empty without an answer."""
         address = self.launcher.http_address(name)
         try:
-            page = read_json(address, '/health', _PAGE_LIMIT_S)
+            page = read_json(address, '/health', _PAGE_TIMEOUT_S)
         except (ConnectionLost, ValueError):
             return {}
         return page if isinstance(page, dict) else {}
 
     def page(self, entry: str, topic: str) -> dict[str, Any]:
-        """Read a page of the control group; empty if there is no answer."""
+        """Return a page of the control group; empty without an answer."""
         address = self.launcher.http_address(entry)
         client = WebClient(address)
         try:
             response = client.request(
-                'GET', f'/v1/control/{topic}', timeout_s=_PAGE_LIMIT_S
+                'GET', f'/v1/control/{topic}', timeout_s=_PAGE_TIMEOUT_S
             )
             page = response.document() if response.status == 200 else {}
         except (ConnectionLost, ValueError):
@@ -209,11 +209,11 @@
         return page if isinstance(page, dict) else {}
 
     def gauge(self, name: str, gauge: str) -> float:
-        """Read a gauge of a process; -1 if it does not answer."""
+        """Return a gauge of a process; -1 without an answer."""
         client = WebClient(self.launcher.http_address(name))
         try:
             response = client.request(
-                'GET', '/metrics', timeout_s=_PAGE_LIMIT_S
+                'GET', '/metrics', timeout_s=_PAGE_TIMEOUT_S
             )
         except ConnectionLost:
             return -1.0
@@ -225,11 +225,11 @@
                 return float(value)
         return -1.0
 
-    def leader(self, limit_s: float = 20.0) -> str:
+    def wait_for_leader(self, limit_s: float = 20.0) -> str:
         """Wait until a control host leads, and return its name."""
         found: list[str] = []
 
-        def one_leads() -> bool:
+        def leader_is_known() -> bool:
             for name in self.controls:
                 if not self.launcher.is_running(name):
                     continue
@@ -239,11 +239,11 @@
                     return True
             return False
 
-        wait_until(one_leads, 'a leader', limit_s)
+        wait_until(leader_is_known, 'a leader', limit_s)
         return found[-1]
 
     def next_ticket_number(self) -> int:
-        """Return a number that no ticket has had."""
+        """Return an unused ticket number."""
         self._last_ticket += 1
         return self._last_ticket
 
@@ -252,22 +252,23 @@
     ) -> int:
         """Put a ticket until its outcome is known; return its number.
 
-        One whose answer was lost is resent with number and content.
+        Without an answer, the ticket is sent again unchanged. Raises
+        `WaitTimeout` if it is not accepted within `limit_s` seconds.
         """
         number = self.next_ticket_number()
         give_up_at = time.monotonic() + limit_s
-        turn = self.entries.index(entry)
+        entry_index = self.entries.index(entry)
         while time.monotonic() < give_up_at:
-            name = self.entries[turn % len(self.entries)]
+            name = self.entries[entry_index % len(self.entries)]
             status = self._try_ticket(name, number, state)
             if status == 'accepted':
                 self.accepted_state_by_number[number] = state
                 return number
             if status:
-                raise WaitedInVain(f'ticket {number} is {status}')
-            turn += 1
+                raise WaitTimeout(f'ticket {number} is {status}')
+            entry_index += 1
             time.sleep(0.1)
-        raise WaitedInVain(f'ticket {number} has no outcome')
+        raise WaitTimeout(f'ticket {number} has no outcome')
 
     def _try_ticket(
         self, entry: str, number: int, state: dict[str, Any]
@@ -276,7 +277,7 @@
         body = {'number': number, 'state': state}
         try:
             response = client.request(
-                'POST', '/v1/tickets', body, timeout_s=REQUEST_LIMIT_S
+                'POST', '/v1/tickets', body, timeout_s=_TICKET_TIMEOUT_S
             )
             return str(response.document().get('status', ''))
         except (ConnectionLost, ValueError):
--- a/tools/matrix/_disk.py
+++ b/tools/matrix/_disk.py
@@ -1,20 +1,20 @@
-"""Orders to the disk of a control host."""
+"""Faults that can be injected into the disk of a control host."""
 
 from enum import StrEnum
 from pathlib import Path
 
 
 class DiskFault(StrEnum):
-    """What a disk does wrong while the order stands."""
+    """How a disk fails while the fault is set."""
 
-    # Takes half of what is written and refuses the rest.
+    # Each write stores half of its data and fails.
     FULL = 'full'
-    # Takes half of the next write, and the host loses power.
+    # The next write stores half of its data and ends the process.
     TORN = 'torn'
-    # Every sync takes long.
+    # Every sync is slow.
     SLOW = 'slow'
 
 
-def order_file(data_folder: Path) -> Path:
-    """Return the file that holds the order for a data folder."""
+def disk_fault_file(data_folder: Path) -> Path:
+    """Return the file that names the current fault of a data folder."""
     return data_folder.with_name(f'{data_folder.name}.order')
--- a/tools/matrix/_relay.py
+++ b/tools/matrix/_relay.py
@@ -1,9 +1,10 @@
-"""TCP relays that can fall silent between named processes.
+"""TCP relays that can drop all data from or to one process.
 
-`baobabgap.control.tests._silenceable_relay` mutes whatever is open; these also
-know who dialled, so that one process is cut off from all others, on new
-connections too. What was cut stays open and silent for good; connections
-made after the cut has healed work.
+`baobabgap.control.tests._silenceable_relay` silences all open connections.
+These relays identify the connecting process by its source address, so that
+one process is cut off from all others, on new connections too. A connection
+that has lost data stays open and silent; connections opened after the cut
+has ended work.
 """
 
 from collections.abc import Callable
@@ -21,19 +22,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """Directions in which one process is cut off from all others."""
+    """The directions in which a process is cut off from all others."""
 
-    # The address that the process dials from.
+    # The source address of the process's own connections.
     source: str
-    # The port that it listens on for links.
+    # The port that the process listens on for links.
     port: int
-    # Whether nothing reaches it.
+    # Whether data sent to the process is dropped.
     inbound: bool
-    # Whether nothing of its own reaches others.
+    # Whether data sent by the process is dropped.
     outbound: bool
 
     def drops(self, sender: str | int, receiver: str | int) -> bool:
-        """Tell whether bytes between these ends are lost."""
+        """Tell whether data from `sender` to `receiver` is dropped.
+
+        Each is a source address or a listening port.
+        """
         own = (self.source, self.port)
         return (self.outbound and sender in own) or (
             self.inbound and receiver in own
@@ -41,7 +45,7 @@
 
 
 class Relays:
-    """One relay before each listening port of a deployment."""
+    """A relay in front of each listening port of a deployment."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -49,69 +53,71 @@
         self._sockets: list[socket.socket] = []
 
     def add(self, port: int) -> None:
-        """Relay connections to this port from now on."""
+        """Start to relay connections to this port."""
         server = socket.create_server((RELAY_HOST, port), backlog=128)
-        self._keep(server)
-        self._start(self._accept, server, port)
+        self._track(server)
+        self._start_thread(self._accept, server, port)
 
     def cut(self, cut: Cut) -> None:
-        """Drop bytes from now on."""
+        """Start to drop data as `cut` says."""
         self._cuts = (*self._cuts, cut)
 
     def heal(self) -> None:
-        """Let new connections pass."""
+        """End all cuts; connections opened from now on work."""
         self._cuts = ()
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all listeners and connections."""
         with self._lock:
             for each in self._sockets:
-                _end(each)
+                _shut_down(each)
 
-    def _keep(self, *sockets: socket.socket) -> None:
+    def _track(self, *sockets: socket.socket) -> None:
         with self._lock:
             self._sockets += sockets
 
-    def _start(self, task: Callable[..., None], *arguments: Any) -> None:
+    def _start_thread(
+        self, task: Callable[..., None], *arguments: Any
+    ) -> None:
         threading.Thread(target=task, args=arguments, daemon=True).start()
 
     def _accept(self, server: socket.socket, port: int) -> None:
         while True:
             try:
-                near, (source, _) = server.accept()
+                client, (source, _) = server.accept()
             except OSError:
                 return
             try:
-                far = socket.create_connection((LISTEN_HOST, port))
+                target = socket.create_connection((LISTEN_HOST, port))
             except OSError:
-                near.close()
+                client.close()
                 continue
-            self._keep(near, far)
-            self._start(self._carry, near, far, source, port)
-            self._start(self._carry, far, near, port, source)
+            self._track(client, target)
+            self._start_thread(self._forward, client, target, source, port)
+            self._start_thread(self._forward, target, client, port, source)
 
-    def _carry(
+    def _forward(
         self,
         source: socket.socket,
         destination: socket.socket,
         sender: str | int,
         receiver: str | int,
     ) -> None:
-        is_muted = False
+        is_silenced = False
         try:
             while data := source.recv(_READ_BYTES):
-                is_muted = is_muted or any(
+                is_silenced = is_silenced or any(
                     cut.drops(sender, receiver) for cut in self._cuts
                 )
-                if not is_muted:
+                if not is_silenced:
                     destination.sendall(data)
         except OSError:
             pass
-        if not is_muted:
-            _end(destination)
+        if not is_silenced:
+            _shut_down(destination)
 
 
-def _end(closing: socket.socket) -> None:
+def _shut_down(closing: socket.socket) -> None:
     try:
         closing.shutdown(socket.SHUT_RDWR)
     except OSError:
--- a/tools/matrix/_run.py
+++ b/tools/matrix/_run.py
@@ -1,4 +1,4 @@
-"""Runs cells of the matrix, one after the other, on one deployment."""
+"""Runs cells of the matrix one after the other on one deployment."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -19,23 +19,23 @@
 from tools.matrix._cells import Verdict
 from tools.matrix._checks import check_jobs
 from tools.matrix._checks import check_tickets
-from tools.matrix._checks import wait_until_repaired
+from tools.matrix._checks import wait_until_recovered
 from tools.matrix._deployment import Deployment
-from tools.matrix._deployment import WaitedInVain
+from tools.matrix._deployment import WaitTimeout
 from tools.matrix._injection import Injection
-from tools.matrix._moments import Moments
-from tools.matrix._moments import StepNotReached
+from tools.matrix._step_driver import StepDriver
+from tools.matrix._step_driver import StepNotReached
 
-_MOST_REASONS: Final = 4
-_MOST_ATTEMPTS: Final = 2
-_RESUMED_LIMIT_S: Final = 15.0
-_ERRORS: Final = (WaitedInVain, LaunchError, BaobabgapError, OSError)
+_MAX_REPORTED_PROBLEMS: Final = 4
+_MAX_ATTEMPTS: Final = 2
+_MAX_NEW_JOB_S: Final = 15.0
+_CELL_ERRORS: Final = (WaitTimeout, LaunchError, BaobabgapError, OSError)
 
 
 def run_cells(
     cells: Iterable[Cell], seed: int, report: Callable[[Result], None]
 ) -> list[Result]:
-    """Run cells; a deployment serves until a cell turns red."""
+    """Run cells; a red cell is followed by a new deployment."""
     results = []
     runner = _Runner(seed)
     try:
@@ -49,7 +49,7 @@
 
 
 class _Runner:
-    """Keeps one deployment for as long as its cells hold."""
+    """Runs cells and replaces the deployment after a red one."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
@@ -60,22 +60,22 @@
         if reason:
             return Result(cell, Verdict.NOT_RUN, self._seed, reason)
         try:
-            problems = self._try(cell)
+            problems = self._run_with_retry(cell)
         except StepNotReached as error:
             return Result(cell, Verdict.NOT_RUN, self._seed, str(error))
         if not problems:
             return Result(cell, Verdict.HELD, self._seed)
         self.close()
-        reason = '; '.join(problems[:_MOST_REASONS])
+        reason = '; '.join(problems[:_MAX_REPORTED_PROBLEMS])
         return Result(cell, Verdict.RED, self._seed, reason)
 
-    def _try(self, cell: Cell) -> list[str]:
-        """Run a cell, once more on a new deployment if its step is missed."""
-        for attempts_left in reversed(range(_MOST_ATTEMPTS)):
+    def _run_with_retry(self, cell: Cell) -> list[str]:
+        """Run a cell; retry on a new deployment if its step is missed."""
+        for attempts_left in reversed(range(_MAX_ATTEMPTS)):
             if self._deployment is None:
                 self._deployment = Deployment.start()
             try:
-                return self._problems(cell, self._deployment)
+                return self._run_once(cell, self._deployment)
             except StepNotReached:
                 self.close()
                 if not attempts_left:
@@ -88,34 +88,34 @@
             self._deployment.close()
             self._deployment = None
 
-    def _problems(self, cell: Cell, deployment: Deployment) -> list[str]:
-        chance = random.Random(f'{self._seed}/{cell.step}/{cell.fault}')
-        moments = Moments(deployment, chance)
+    def _run_once(self, cell: Cell, deployment: Deployment) -> list[str]:
+        rng = random.Random(f'{self._seed}/{cell.step}/{cell.fault}')
+        step_driver = StepDriver(deployment, rng)
         callers = Callers(deployment, self._seed)
         counts = StandInCounts(deployment.launcher)
         callers.start()
         problems = []
-        done = ''
-        called: list[CalledJob] = []
+        affected = ''
+        jobs: list[CalledJob] = []
         try:
-            done = Injection(deployment, moments, chance).run(cell)
-            problems += moments.errors
-            wait_until_repaired(deployment)
+            affected = Injection(deployment, step_driver, rng).run(cell)
+            problems += step_driver.errors
+            wait_until_recovered(deployment)
             problems += _check_service(deployment, callers)
-        except _ERRORS as error:
+        except _CELL_ERRORS as error:
             problems.append(str(error))
         finally:
-            called = callers.finish()
+            jobs = callers.finish()
         try:
-            problems += check_jobs(called, counts)
+            problems += check_jobs(jobs, counts)
             problems += check_tickets(deployment)
-        except _ERRORS as error:
+        except _CELL_ERRORS as error:
             problems.append(str(error))
-        return [f'[{done}] {problem}' for problem in problems]
+        return [f'[{affected}] {problem}' for problem in problems]
 
 
 def _check_service(deployment: Deployment, callers: Callers) -> Iterator[str]:
-    """Yield what is wrong with new jobs after the repair."""
+    """Yield problems with new jobs after the recovery."""
     for entry in deployment.entries:
         asked_at = time.monotonic()
         job = callers.submit_one(entry)
@@ -123,5 +123,5 @@
         if job.end is not End.WHOLE:
             codes = [one.code or one.end for one in job.attempts]
             yield f'a new job at {entry} ended as {job.end}: {codes[-3:]}'
-        elif took_s > _RESUMED_LIMIT_S:
+        elif took_s > _MAX_NEW_JOB_S:
             yield f'a new job at {entry} took {took_s:.1f} s'
