--- a/tools/history/__init__.py
+++ b/tools/history/__init__.py
@@ -1,1 +1,1 @@
-"""Runs under random faults whose recorded histories are checked."""
+"""Runs deployments under random faults and checks recorded histories."""
--- a/tools/history/__main__.py
+++ b/tools/history/__main__.py
@@ -18,7 +18,7 @@
     parser.add_argument('--first', type=int, default=1)
     parser.add_argument('--seconds', type=float, default=_DEFAULT_SECONDS)
     arguments = parser.parse_args()
-    # Whoever ends this process ends the processes of its run as well.
+    # Raises KeyboardInterrupt on SIGTERM, so that the child processes end.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     seeds = range(arguments.first, arguments.first + arguments.seeds)
     count_by_verdict = {'held': 0, 'RED': 0, 'not-run': 0}
--- a/tools/history/_callers.py
+++ b/tools/history/_callers.py
@@ -24,32 +24,30 @@
 from tools.history._events import Whole
 from tools.history._recorder import Recorder
 
-_REQUEST_LIMIT_S: Final = 6.0
+_REQUEST_TIMEOUT_S: Final = 6.0
 _DEADLINES_MS: Final = (800, 3000, 3000, 3000)
 _RUN_TIMES_MS: Final = (20, 50, 100, 200, 600)
 _TASK_COUNTS: Final = (1, 1, 2, 3, 6)
-# The last team has no quota, and the one before it a small one.
+# The last team has no quota; `small` has a small one.
 _TEAMS: Final = ('desk', 'desk', 'desk', 'desk', 'small', 'nobody')
 _PAUSE_BETWEEN_JOBS_S: Final = 0.12
-_SETTLED_FETCH_MS: Final = 3000
+_FINAL_FETCH_WAIT_MS: Final = 3000
 
 
 @dataclass(frozen=True, slots=True)
-class _Step:
-    """One request of a job's script."""
+class _ScriptedRequest:
+    """A request about a job, to be sent after a delay."""
 
-    # Seconds from the start of the script.
+    # Seconds from the job's creation to the request.
     after_s: float
-    # What is asked.
     action: JobAction
-    # The entry that is asked.
     entry: str
-    # The query of a submission or fetch.
+    # The query string of a submission or fetch.
     query: str = ''
 
 
 class Callers:
-    """Several callers, each with one job after the other."""
+    """Several callers; each draws one job after the other."""
 
     def __init__(
         self,
@@ -65,31 +63,35 @@
         self._lock = threading.Lock()
         self._jobs: list[str] = []
 
-    def call(self, caller: int, over: threading.Event) -> None:
-        """Be one caller until the run is over."""
-        chance = random.Random(f'{self._seed}-caller-{caller}')
-        scripts: list[Future[None]] = []
+    def run_caller(self, caller: int, stopping: threading.Event) -> None:
+        """Run one caller until the run ends."""
+        rng = random.Random(f'{self._seed}-caller-{caller}')
+        futures: list[Future[None]] = []
         number = 0
-        while not over.wait(chance.uniform(0.2, 1.8) * _PAUSE_BETWEEN_JOBS_S):
+        while not stopping.wait(rng.uniform(0.2, 1.8) * _PAUSE_BETWEEN_JOBS_S):
             number += 1
-            document = _make_job(chance, f'{caller}-{number}')
+            document = _make_job(rng, f'{caller}-{number}')
             with self._lock:
                 self._jobs.append(document['identifier'])
             self._recorder.record(_content_of(document))
-            for step in self._draw_script(chance):
-                scripts.append(self._pool.submit(self._take, step, document))
-        for script in scripts:
-            script.result()
+            for request in self._draw_requests(rng):
+                futures.append(
+                    self._pool.submit(
+                        self._send_after_delay, request, document
+                    )
+                )
+        for future in futures:
+            future.result()
 
     def fetch_all(self) -> None:
-        """Ask both entries for the end of every job."""
+        """Fetch the end of every job from both entries."""
         futures = [
             self._pool.submit(
-                self._ask,
+                self._send_and_record,
                 JobAction.FETCH,
                 entry,
                 {'identifier': job},
-                f'?wait_ms={_SETTLED_FETCH_MS}',
+                f'?wait_ms={_FINAL_FETCH_WAIT_MS}',
             )
             for job in self._jobs
             for entry in self._deployment.entries
@@ -97,35 +99,43 @@
         for future in futures:
             future.result()
 
-    def _draw_script(self, chance: random.Random) -> list[_Step]:
-        """Draw what is asked about one job, and when."""
+    def _draw_requests(self, rng: random.Random) -> list[_ScriptedRequest]:
+        """Draw the requests about one job and their delays."""
         entries = list(self._deployment.entries)
-        chance.shuffle(entries)
+        rng.shuffle(entries)
         first, other = entries
-        wait = chance.choice(('', '', '?wait=no'))
-        steps = [_Step(0.0, JobAction.SUBMIT, first, wait)]
-        if chance.random() < 0.4:
-            after_s = chance.choice((0.0, 0.005, 0.05, 0.4, 1.5))
-            steps.append(_Step(after_s, JobAction.SUBMIT, other, wait))
-        if chance.random() < 0.15:
-            steps.append(_Step(2.5, JobAction.SUBMIT, first))
-        if chance.random() < 0.2:
-            after_s = chance.choice((0.0, 0.01, 0.1, 0.5))
-            steps.append(
-                _Step(after_s, JobAction.CANCEL, chance.choice(entries))
+        wait = rng.choice(('', '', '?wait=no'))
+        requests = [_ScriptedRequest(0.0, JobAction.SUBMIT, first, wait)]
+        if rng.random() < 0.4:
+            after_s = rng.choice((0.0, 0.005, 0.05, 0.4, 1.5))
+            requests.append(
+                _ScriptedRequest(after_s, JobAction.SUBMIT, other, wait)
+            )
+        if rng.random() < 0.15:
+            requests.append(_ScriptedRequest(2.5, JobAction.SUBMIT, first))
+        if rng.random() < 0.2:
+            after_s = rng.choice((0.0, 0.01, 0.1, 0.5))
+            requests.append(
+                _ScriptedRequest(
+                    after_s, JobAction.CANCEL, rng.choice(entries)
+                )
             )
-        if chance.random() < 0.4:
-            after_s = chance.choice((0.05, 0.5, 2.0))
-            steps.append(
-                _Step(after_s, JobAction.FETCH, chance.choice(entries))
+        if rng.random() < 0.4:
+            after_s = rng.choice((0.05, 0.5, 2.0))
+            requests.append(
+                _ScriptedRequest(after_s, JobAction.FETCH, rng.choice(entries))
             )
-        return steps
+        return requests
 
-    def _take(self, step: _Step, document: dict[str, Any]) -> None:
-        time.sleep(step.after_s)
-        self._ask(step.action, step.entry, document, step.query)
+    def _send_after_delay(
+        self, request: _ScriptedRequest, document: dict[str, Any]
+    ) -> None:
+        time.sleep(request.after_s)
+        self._send_and_record(
+            request.action, request.entry, document, request.query
+        )
 
-    def _ask(
+    def _send_and_record(
         self,
         action: JobAction,
         entry: str,
@@ -137,7 +147,7 @@
         began_s = time.monotonic()
         outcome: JobOutcome
         try:
-            response = _send(client, action, document, query)
+            response = _send_request(client, action, document, query)
             outcome = _outcome_of(response)
         except ConnectionLost:
             outcome = NoAnswer()
@@ -149,7 +159,7 @@
         )
 
 
-def _send(
+def _send_request(
     client: WebClient, action: JobAction, document: dict[str, Any], query: str
 ) -> WebResponse:
     path = f'/v1/jobs/{document["identifier"]}{query}'
@@ -159,12 +169,12 @@
                 'POST',
                 f'/v1/jobs{query}',
                 document,
-                timeout_s=_REQUEST_LIMIT_S,
+                timeout_s=_REQUEST_TIMEOUT_S,
             )
         case JobAction.FETCH:
-            return client.request('GET', path, timeout_s=_REQUEST_LIMIT_S)
+            return client.request('GET', path, timeout_s=_REQUEST_TIMEOUT_S)
         case JobAction.CANCEL:
-            return client.request('DELETE', path, timeout_s=_REQUEST_LIMIT_S)
+            return client.request('DELETE', path, timeout_s=_REQUEST_TIMEOUT_S)
 
 
 def _outcome_of(response: WebResponse) -> JobOutcome:
@@ -180,27 +190,27 @@
         case {'state': 'pending'}:
             return Pending()
         case _:
-            raise ValueError(f'no answer of an entry: {response}')
+            raise ValueError(f'unexpected response of an entry: {response}')
 
 
-def _make_job(chance: random.Random, name: str) -> dict[str, Any]:
+def _make_job(rng: random.Random, name: str) -> dict[str, Any]:
     tasks = [
         {
             'identifier': f't{number}',
             'kind': 'seat-change',
-            'run_time_ms': chance.choice(_RUN_TIMES_MS),
+            'run_time_ms': rng.choice(_RUN_TIMES_MS),
             'payload': {
                 'of': f'{name}/{number}',
-                'sleep_ms': chance.choice(_RUN_TIMES_MS),
+                'sleep_ms': rng.choice(_RUN_TIMES_MS),
             },
         }
-        for number in range(chance.choice(_TASK_COUNTS))
+        for number in range(rng.choice(_TASK_COUNTS))
     ]
     issued_ms = time.time_ns() // 1_000_000
     return {
         'identifier': f'kurek.{issued_ms}.{name}',
-        'team': chance.choice(_TEAMS),
-        'deadline_ms': chance.choice(_DEADLINES_MS),
+        'team': rng.choice(_TEAMS),
+        'deadline_ms': rng.choice(_DEADLINES_MS),
         'tasks': tasks,
     }
 
--- a/tools/history/_checker.py
+++ b/tools/history/_checker.py
@@ -34,5 +34,5 @@
 
 
 def check(history: History) -> list[Violation]:
-    """Return every breach of a rule; an empty list if all rules hold."""
+    """Return all violations; an empty list if all rules hold."""
     return [violation for rule in _RULES for violation in rule(history)]
--- a/tools/history/_deployment.py
+++ b/tools/history/_deployment.py
@@ -1,4 +1,4 @@
-"""The processes of one run, with cuttable links to the control group."""
+"""The processes of one run, with relays to the control group."""
 
 import threading
 from typing import Final
@@ -47,8 +47,8 @@
 class Deployment:
     """Three control hosts, two entries, three agents with stand-ins.
 
-    Each entry and agent reaches each control host through a relay of its
-    own. Use it as a context manager.
+    Each entry and agent connects to each control host through its own
+    relay. Use it as a context manager.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         launcher = Launcher.from_plan(_PLAN)
         processes = _PLAN.processes(launcher.folder)
         relays = {
-            process.name: _put_relays_between(process)
+            process.name: _add_relays(process)
             for process in processes
             if process.role in _MEMBER_ROLES
         }
@@ -101,12 +101,12 @@
     def silence_control_links(
         self, member: str, *, to_host: bool, to_member: bool
     ) -> None:
-        """Let the member's open links to control hosts go silent."""
+        """Drop further data on the member's open links to control hosts."""
         for relay in self._relays_by_member[member]:
             relay.silence(to_host=to_host, to_member=to_member)
 
-    def process(self, name: str) -> str:
-        """Name the running process; a restarted one has another name."""
+    def instance_name(self, name: str) -> str:
+        """Return a name of the running process that changes on restart."""
         with self._lock:
             return f'{name}#{self._generation_by_name.get(name, 0)}'
 
@@ -118,7 +118,7 @@
         self.launcher.start(name)
 
     def outputs_of_unready(self) -> dict[str, str]:
-        """Return what the processes that aren't ready have printed."""
+        """Return the output of the processes that aren't ready."""
         return {
             name: self.launcher.output(name)
             for name in self.launcher.names
@@ -126,7 +126,7 @@
         }
 
     def starts(self) -> list[Started]:
-        """Ask the stand-ins what they have started."""
+        """Return the task starts that the stand-ins report."""
         found = []
         for name in self.launcher.names_with_role('stand-in'):
             address = self.launcher.http_address(name)
@@ -138,8 +138,8 @@
         return found
 
 
-def _put_relays_between(member: PlannedProcess) -> list[SilenceableRelay]:
-    """Replace the control hosts' ports by those of relays."""
+def _add_relays(member: PlannedProcess) -> list[SilenceableRelay]:
+    """Configure a member to reach the control hosts through new relays."""
     relays = []
     hosts = []
     for host in member.settings['control_hosts']:
--- a/tools/history/_events.py
+++ b/tools/history/_events.py
@@ -1,6 +1,6 @@
-"""What callers, operators and stand-in upstreams have seen.
+"""Events that callers, operators and stand-in upstreams observe.
 
-Times are seconds of the monotonic clock of the one process that records.
+Times are seconds on the monotonic clock of the recording process.
 """
 
 from dataclasses import dataclass
@@ -10,17 +10,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Whole:
-    """All values of a job were told."""
+    """The answer held all values of a job."""
 
-    # The identifier that the answer names.
+    # The identifier in the answer.
     job: str
-    # Pairs of task and value, in the order told.
+    # Pairs of task and value, in the order of the answer.
     values: tuple[tuple[str, Any], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The job was reported as failed; some task ran, or may have."""
+    """The job was reported as failed; tasks ran or may have run."""
 
     # The code of the failure.
     code: str
@@ -38,19 +38,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Pending:
-    """The end was not known yet."""
+    """The job had not ended yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """No response came; the request may have been carried out."""
+    """No response arrived; the request may have been executed."""
 
 
 JobOutcome = Whole | Failed | Refused | Pending | NoAnswer
 
 
 class JobAction(StrEnum):
-    """What a caller asks."""
+    """What a caller requests."""
 
     SUBMIT = 'submit'
     FETCH = 'fetch'
@@ -59,25 +59,23 @@
 
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """One request about a job and what came of it."""
+    """One request about a job and its outcome."""
 
-    # What was asked.
     action: JobAction
-    # The entry that was asked.
+    # The name of the entry that received the request.
     entry: str
     # The job's identifier.
     job: str
-    # When the request was about to be sent.
+    # Read just before the request was sent.
     began_s: float
-    # When its response had come, or was no longer waited for.
+    # Read when the response had arrived or the wait for it had ended.
     ended_s: float
-    # What came of it.
     outcome: JobOutcome
 
 
 @dataclass(frozen=True, slots=True)
 class JobContent:
-    """What the caller of a job has made."""
+    """The tasks of a job as its caller submits them."""
 
     # The job's identifier.
     job: str
@@ -89,13 +87,13 @@
 class Started:
     """A task that a stand-in upstream has started."""
 
-    # The stand-in.
+    # The name of the stand-in.
     upstream: str
     # The job's identifier.
     job: str
     # The task's identifier.
     task: str
-    # How often it was started there.
+    # How many times the stand-in started it.
     times: int = 1
 
 
@@ -109,15 +107,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Another ticket has the number."""
+    """Another ticket was accepted under the number."""
 
-    # The content that won, as canonical JSON.
+    # The accepted content, as canonical JSON.
     winner: str
 
 
 @dataclass(frozen=True, slots=True)
 class TurnedDown:
-    """A ticket was stale or invalid."""
+    """A ticket was refused as stale or invalid."""
 
     # `stale` or `invalid`.
     status: str
@@ -125,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketUnknown:
-    """It isn't known what became of a ticket."""
+    """The outcome of a ticket is unknown."""
 
 
 TicketResult = Accepted | Lost | TurnedDown | TicketUnknown
@@ -133,25 +131,24 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketPut:
-    """One request to accept a ticket."""
+    """One request to accept a ticket and its outcome."""
 
-    # The entry that was asked.
+    # The name of the entry that received the request.
     entry: str
     # The ticket's number.
     number: int
     # What it sets, as canonical JSON.
     content: str
-    # When the request was about to be sent.
+    # Read just before the request was sent.
     began_s: float
-    # When its response had come, or was no longer waited for.
+    # Read when the response had arrived or the wait for it had ended.
     ended_s: float
-    # What came of it.
     result: TicketResult
 
 
 @dataclass(frozen=True, slots=True)
 class ReadTicket:
-    """A ticket as a page shows it."""
+    """A ticket as the tickets page shows it."""
 
     # The ticket's number.
     number: int
@@ -163,33 +160,32 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketRead:
-    """One reading of the page of tickets."""
+    """One read of the tickets page."""
 
-    # Who read; one reader reads one page after the other.
+    # The reader's name; the reads of one reader do not overlap.
     reader: str
-    # When the request was about to be sent.
+    # Read just before the request was sent.
     began_s: float
-    # The newest number.
+    # The newest ticket number.
     newest: int
-    # All tickets, by number.
+    # All tickets, in the order of their numbers.
     tickets: tuple[ReadTicket, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class VersionRead:
-    """One reading of the configuration version in force in a process."""
+    """One read of the configuration version in force in a process."""
 
-    # The process; one that was restarted counts as another.
+    # The process's instance; a restart makes a new one.
     process: str
-    # When the request was about to be sent.
+    # Read just before the request was sent.
     began_s: float
-    # The version.
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """All that was recorded in one run."""
+    """All events of one run, by kind."""
 
     contents: tuple[JobContent, ...] = ()
     requests: tuple[JobRequest, ...] = ()
@@ -201,11 +197,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that a history breaks."""
+    """A violation of a rule by a history."""
 
     # The rule's name.
     rule: str
     # What is wrong.
     message: str
-    # The events concerned.
+    # The events that show the violation.
     events: tuple[Any, ...]
--- a/tools/history/_faults.py
+++ b/tools/history/_faults.py
@@ -1,4 +1,4 @@
-"""A schedule of faults drawn from a seed, and its execution."""
+"""Draws faults from a seed and injects them."""
 
 from dataclasses import dataclass
 import random
@@ -9,8 +9,8 @@
 from tools.history._deployment import Deployment
 
 _STOP_LIMIT_S: Final = 15.0
-# Processes that fail in turn; the lanes run side by side, so that two
-# faults may meet, but never two control hosts are down on purpose.
+# The processes of a lane fail one at a time. The lanes run concurrently, so
+# two faults may overlap, but never take down two control hosts.
 LANES: Final = (
     ('entry-1', 'entry-2', 'agent-1'),
     ('control-1', 'control-2', 'control-3', 'agent-2', 'agent-3'),
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """The process ends at once, and is started again."""
+    """The process is killed and restarted."""
 
     name: str
     down_s: float
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The process is stopped as planned, and is started again."""
+    """The process is shut down gracefully and restarted."""
 
     name: str
     down_s: float
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Freeze:
-    """The process stands still for a while."""
+    """The process is suspended and resumed."""
 
     name: str
     frozen_s: float
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """The open links of a member to the control group go silent."""
+    """The member's open links to the control group drop further data."""
 
     name: str
     to_host: bool
@@ -53,25 +53,25 @@
 Fault = Kill | Stop | Freeze | Cut
 
 
-def draw_fault(chance: random.Random, names: tuple[str, ...]) -> Fault:
-    """Draw one fault of one of these processes."""
-    name = chance.choice(names)
-    match chance.choice(('kill', 'stop', 'freeze', 'freeze', 'cut')):
+def draw_fault(rng: random.Random, names: tuple[str, ...]) -> Fault:
+    """Draw a fault of one of these processes."""
+    name = rng.choice(names)
+    match rng.choice(('kill', 'stop', 'freeze', 'freeze', 'cut')):
         case 'kill':
-            return Kill(name, chance.uniform(0.0, 0.8))
+            return Kill(name, rng.uniform(0.0, 0.8))
         case 'stop':
-            return Stop(name, chance.uniform(0.0, 0.5))
+            return Stop(name, rng.uniform(0.0, 0.5))
         case 'cut' if not name.startswith('control'):
-            to_host, to_member = chance.choice(
+            to_host, to_member = rng.choice(
                 ((True, True), (True, False), (False, True))
             )
             return Cut(name, to_host, to_member)
         case _:
-            return Freeze(name, chance.choice((0.2, 0.5, 1.0, 2.0)))
+            return Freeze(name, rng.choice((0.2, 0.5, 1.0, 2.0)))
 
 
 class Faults:
-    """Injects faults until the run is over."""
+    """Injects faults until the run ends."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self._deployment = deployment
@@ -79,11 +79,11 @@
         self._lock = threading.Lock()
         self.injected: list[Fault] = []
 
-    def inject(self, lane: int, over: threading.Event) -> None:
-        """Go through the faults of one lane, one after the other."""
-        chance = random.Random(f'{self._seed}-lane-{lane}')
-        while not over.wait(chance.uniform(0.3, 1.0)):
-            fault = draw_fault(chance, LANES[lane])
+    def inject(self, lane: int, stopping: threading.Event) -> None:
+        """Inject the faults of one lane, one after the other."""
+        rng = random.Random(f'{self._seed}-lane-{lane}')
+        while not stopping.wait(rng.uniform(0.3, 1.0)):
+            fault = draw_fault(rng, LANES[lane])
             with self._lock:
                 self.injected.append(fault)
             self._inject(fault)
--- a/tools/history/_job_rules.py
+++ b/tools/history/_job_rules.py
@@ -15,15 +15,15 @@
 from tools.history._events import Violation
 from tools.history._events import Whole
 
-# Failures that are the end of the job. All others, such as `owner_lost`,
-# say that the end isn't known to who answers.
+# Failures that are the job's end. All others, such as `owner_lost`, say that
+# the answering entry doesn't know the end.
 _FINAL_CODES: Final = frozenset(
     ('deadline', 'cancelled', 'task_failed', 'task_lost')
 )
 
 
 def check_single_starts(history: History) -> Iterator[Violation]:
-    """Each task starts at most once, over all stand-ins."""
+    """Each task starts at most once across all stand-ins."""
     starts_by_task: dict[tuple[str, str], list[Started]] = defaultdict(list)
     for start in history.starts:
         starts_by_task[start.job, start.task].append(start)
@@ -38,7 +38,7 @@
 
 
 def check_whole_answers(history: History) -> Iterator[Violation]:
-    """A whole answer has each task's value once, and each has started."""
+    """A whole answer has each task's value once, and each task started."""
     tasks_by_job = {
         content.job: [task for task, _ in content.tasks]
         for content in history.contents
@@ -47,12 +47,14 @@
     for request in history.requests:
         match request.outcome:
             case Whole(values=values):
-                told = [task for task, _ in values]
-                if told != tasks_by_job[request.job]:
+                answered = [task for task, _ in values]
+                if answered != tasks_by_job[request.job]:
                     yield Violation(
-                        'whole or failed', f'told only {told}', (request,)
+                        'whole or failed', f'told only {answered}', (request,)
                     )
-                missing = [t for t in told if (request.job, t) not in started]
+                missing = [
+                    t for t in answered if (request.job, t) not in started
+                ]
                 if missing:
                     yield Violation(
                         'whole or failed',
@@ -62,7 +64,7 @@
 
 
 def check_own_answers(history: History) -> Iterator[Violation]:
-    """Each caller gets the echo of its own payloads."""
+    """Each caller receives the echo of its own payloads."""
     payloads_by_job = {
         content.job: dict(content.tasks) for content in history.contents
     }
@@ -85,7 +87,7 @@
 
 
 def check_ends_agree(history: History) -> Iterator[Violation]:
-    """All ends that are told for one job are the same."""
+    """All ends that are reported for one job are the same."""
     for job, requests in _requests_by_job(history).items():
         ends = [request for request in requests if _end_of(request)]
         if len({str(_end_of(request)) for request in ends}) > 1:
@@ -93,11 +95,11 @@
 
 
 def check_refusals_hold(history: History) -> Iterator[Violation]:
-    """A refused job runs only by a request that wasn't answered before.
+    """A refused job runs only by a submission not answered before.
 
-    The refusal speaks for itself and for all requests that had been
-    answered when it was asked for, also those answered with `pending`.
-    One that got no answer may still arrive later.
+    The refusal covers itself and all requests that had been answered
+    before its own request was sent, including those answered with
+    `pending`. A request without an answer may still arrive later.
     """
     started = {start.job for start in history.starts}
     for job, requests in _requests_by_job(history).items():
@@ -118,7 +120,7 @@
 
 
 def check_refused_never_started(history: History) -> Iterator[Violation]:
-    """A job all of whose submissions were refused has never started."""
+    """A job whose submissions were all refused has never started."""
     for job, requests in _requests_by_job(history).items():
         submissions = [
             request
--- a/tools/history/_operators.py
+++ b/tools/history/_operators.py
@@ -1,4 +1,4 @@
-"""Operators that race tickets, and readers of what is in force."""
+"""Operators that put competing tickets, and configuration readers."""
 
 import json
 import random
@@ -23,20 +23,20 @@
 from tools.history._events import VersionRead
 from tools.history._recorder import Recorder
 
-_REQUEST_LIMIT_S: Final = 4.0
-_PAUSE_S: Final = 0.15
-_FIRST_TRIES: Final = 20
-_FIRST_STATE: Final = {
+_REQUEST_TIMEOUT_S: Final = 4.0
+_MEAN_PAUSE_S: Final = 0.15
+_MAX_FIRST_PUTS: Final = 20
+_QUOTAS: Final = {
     'quota/desk': {'tasks_per_second': 10_000, 'burst_tasks': 10_000},
     'quota/small': {'tasks_per_second': 4, 'burst_tasks': 4},
 }
-_VERSION: Final = re.compile(
+_VERSION_PATTERN: Final = re.compile(
     rb'^baobabgap_configuration_version ([0-9.e+]+)$', re.MULTILINE
 )
 
 
 class Operators:
-    """Puts and reads tickets, and records what the answers were."""
+    """Puts and reads tickets and records the answers."""
 
     def __init__(
         self, deployment: Deployment, recorder: Recorder, seed: int
@@ -45,43 +45,43 @@
         self._recorder = recorder
         self._seed = seed
 
-    def put_first(self) -> None:
-        """Have the quotas of the callers accepted."""
-        content = _canonical(_FIRST_STATE)
-        for _ in range(_FIRST_TRIES):
+    def put_quotas(self) -> None:
+        """Put the quotas of the callers; raise `TimeoutError` on failure."""
+        content = _canonical(_QUOTAS)
+        for _ in range(_MAX_FIRST_PUTS):
             result = self._put(self._deployment.entries[0], 1, content)
             if isinstance(result, Accepted):
                 return
-            time.sleep(_PAUSE_S)
+            time.sleep(_MEAN_PAUSE_S)
         raise TimeoutError('the first ticket was not accepted')
 
-    def operate(self, operator: int, over: threading.Event) -> None:
-        """Race the other operators until the run is over."""
-        chance = random.Random(f'{self._seed}-operator-{operator}')
+    def run_operator(self, operator: int, stopping: threading.Event) -> None:
+        """Put tickets that compete with other operators until the run ends."""
+        rng = random.Random(f'{self._seed}-operator-{operator}')
         entries = self._deployment.entries
         sent: list[tuple[int, str]] = []
         newest = 1
-        while not over.wait(chance.uniform(0.2, 1.8) * _PAUSE_S):
-            read = self.read(f'operator-{operator}', chance.choice(entries))
+        while not stopping.wait(rng.uniform(0.2, 1.8) * _MEAN_PAUSE_S):
+            read = self.read(f'operator-{operator}', rng.choice(entries))
             newest = newest if read is None else read
-            sent.append((newest + 1, _draw_content(chance, operator)))
+            sent.append((newest + 1, _draw_content(rng, operator)))
             number, content = sent[-1]
-            result = self._put(chance.choice(entries), number, content)
-            if isinstance(result, TicketUnknown) or chance.random() < 0.3:
-                self._put(chance.choice(entries), number, content)
-            if chance.random() < 0.2:
-                self._put(chance.choice(entries), *chance.choice(sent))
-
-    def watch(self, reader: int, over: threading.Event) -> None:
-        """Read pages and versions in force until the run is over."""
-        chance = random.Random(f'{self._seed}-reader-{reader}')
+            result = self._put(rng.choice(entries), number, content)
+            if isinstance(result, TicketUnknown) or rng.random() < 0.3:
+                self._put(rng.choice(entries), number, content)
+            if rng.random() < 0.2:
+                self._put(rng.choice(entries), *rng.choice(sent))
+
+    def run_reader(self, reader: int, stopping: threading.Event) -> None:
+        """Read tickets and versions in force until the run ends."""
+        rng = random.Random(f'{self._seed}-reader-{reader}')
         entries = self._deployment.entries
-        while not over.wait(chance.uniform(0.2, 1.8) * _PAUSE_S):
-            self.read(f'reader-{reader}', chance.choice(entries))
+        while not stopping.wait(rng.uniform(0.2, 1.8) * _MEAN_PAUSE_S):
+            self.read(f'reader-{reader}', rng.choice(entries))
             self._read_version(entries[reader % len(entries)])
 
     def read(self, reader: str, entry: str) -> int | None:
-        """Read the tickets; return the newest number if that worked."""
+        """Read the tickets; return the newest number, or None on failure."""
         began_s = time.monotonic()
         response = self._request(entry, 'GET', '/v1/control/tickets')
         if response is None or response.status != 200:
@@ -100,14 +100,14 @@
         return newest
 
     def _read_version(self, entry: str) -> None:
-        before = self._deployment.process(entry)
+        process = self._deployment.instance_name(entry)
         began_s = time.monotonic()
         response = self._request(entry, 'GET', '/metrics')
-        found = response and _VERSION.search(response.body)
-        # A restart in between leaves open which process has answered.
-        if found and self._deployment.process(entry) == before:
+        found = response and _VERSION_PATTERN.search(response.body)
+        # After a restart in between, either instance may have answered.
+        if found and self._deployment.instance_name(entry) == process:
             version = int(float(found[1]))
-            self._recorder.record(VersionRead(before, began_s, version))
+            self._recorder.record(VersionRead(process, began_s, version))
 
     def _put(self, entry: str, number: int, content: str) -> TicketResult:
         document = {'number': number, 'state': json.loads(content)}
@@ -126,7 +126,7 @@
         client = WebClient(self._deployment.launcher.http_address(entry))
         try:
             return client.request(
-                method, path, document, timeout_s=_REQUEST_LIMIT_S
+                method, path, document, timeout_s=_REQUEST_TIMEOUT_S
             )
         except ConnectionLost:
             return None
@@ -148,11 +148,11 @@
             return TicketUnknown()
 
 
-def _draw_content(chance: random.Random, operator: int) -> str:
-    team = chance.choice(('a', 'b', f'of-{operator}'))
+def _draw_content(rng: random.Random, operator: int) -> str:
+    team = rng.choice(('a', 'b', f'of-{operator}'))
     quota = {
-        'tasks_per_second': chance.randrange(1, 1000),
-        'burst_tasks': chance.randrange(1, 1_000_000),
+        'tasks_per_second': rng.randrange(1, 1000),
+        'burst_tasks': rng.randrange(1, 1_000_000),
     }
     return _canonical({f'quota/{team}': quota})
 
--- a/tools/history/_recorder.py
+++ b/tools/history/_recorder.py
@@ -1,4 +1,4 @@
-"""Gathers events from many threads."""
+"""Collects events from several threads."""
 
 import threading
 
@@ -16,7 +16,7 @@
 
 
 class Recorder:
-    """The history of one run as it grows."""
+    """Collects the events of one run."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
--- a/tools/history/_run.py
+++ b/tools/history/_run.py
@@ -1,4 +1,4 @@
-"""One run with a seed: faults, callers and operators, then the check."""
+"""Runs a deployment under seeded faults and checks its history."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -21,17 +21,17 @@
 from tools.history._recorder import Recorder
 from tools.launcher import LaunchError
 
-_CALLERS: Final = 4
-_OPERATORS: Final = 2
-_READERS: Final = 2
+_CALLER_COUNT: Final = 4
+_OPERATOR_COUNT: Final = 2
+_READER_COUNT: Final = 2
 _THREADS: Final = 256
-_MOST_EVENTS_PRINTED: Final = 30
+_MAX_PRINTED_EVENTS: Final = 30
 _SETTLE_S: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What a run has recorded, and what is wrong with it."""
+    """The history of a run and the rules that it violates."""
 
     seed: int
     history: History
@@ -40,11 +40,11 @@
 
     @property
     def held(self) -> bool:
-        """Tell whether all rules hold."""
+        """Whether all rules hold."""
         return not self.violations
 
     def line(self) -> str:
-        """Sum the run up in one line."""
+        """Return a summary of the run in one line."""
         history = self.history
         tasks = sum(len(content.tasks) for content in history.contents)
         starts = sum(start.times for start in history.starts)
@@ -61,13 +61,13 @@
         )
 
     def explanation(self) -> str:
-        """Name the broken rules, the events concerned and the command."""
+        """Return the violations, the faults and the command to repeat it."""
         lines = []
         for violation in self.violations:
             lines.append(f'  {violation.rule}: {violation.message}')
             lines += [
                 f'    {event}'
-                for event in violation.events[:_MOST_EVENTS_PRINTED]
+                for event in violation.events[:_MAX_PRINTED_EVENTS]
             ]
         lines += [f'  fault {fault}' for fault in self.faults]
         lines.append(f'  again: make history FIRST={self.seed} SEEDS=1')
@@ -75,17 +75,17 @@
 
 
 def run(seed: int, seconds: float) -> RunResult:
-    """Put up a deployment, let it run under faults, and check.
+    """Run a deployment under faults for some seconds and check it.
 
-    A process that doesn't become ready again after its faults breaks a
-    rule as well. Raises `LaunchError` if the deployment doesn't come up.
+    A process that doesn't become ready again after the faults is a
+    violation as well. Raises `LaunchError` if the deployment doesn't start.
     """
     recorder = Recorder()
     violations: list[Violation] = []
     with Deployment.start() as deployment:
         faults = Faults(deployment, seed)
         try:
-            _record(deployment, recorder, faults, seed, seconds)
+            _run_workload(deployment, recorder, faults, seed, seconds)
         except (LaunchError, TimeoutError) as error:
             violations.append(Violation('recovers', str(error), ()))
             violations += [
@@ -99,7 +99,7 @@
     return RunResult(seed, history, tuple(faults.injected), tuple(violations))
 
 
-def _record(
+def _run_workload(
     deployment: Deployment,
     recorder: Recorder,
     faults: Faults,
@@ -109,24 +109,24 @@
     with ThreadPoolExecutor(_THREADS) as pool:
         callers = Callers(deployment, recorder, pool, seed)
         operators = Operators(deployment, recorder, seed)
-        operators.put_first()
-        over = threading.Event()
-        actors: list[tuple[Callable[[int, threading.Event], None], int]] = [
+        operators.put_quotas()
+        stopping = threading.Event()
+        workers: list[tuple[Callable[[int, threading.Event], None], int]] = [
             (faults.inject, len(LANES)),
-            (callers.call, _CALLERS),
-            (operators.operate, _OPERATORS),
-            (operators.watch, _READERS),
+            (callers.run_caller, _CALLER_COUNT),
+            (operators.run_operator, _OPERATOR_COUNT),
+            (operators.run_reader, _READER_COUNT),
         ]
         futures = [
-            pool.submit(act, number, over)
-            for act, count in actors
+            pool.submit(work, number, stopping)
+            for work, count in workers
             for number in range(count)
         ]
         try:
             time.sleep(seconds)
         finally:
-            # Also if this process is asked to end.
-            over.set()
+            # Also stops the workers if SIGTERM interrupts the sleep.
+            stopping.set()
         for future in futures:
             future.result()
         deployment.launcher.wait_until_ready()
--- a/tools/history/_ticket_rules.py
+++ b/tools/history/_ticket_rules.py
@@ -33,7 +33,7 @@
 
 
 def check_one_order(history: History) -> Iterator[Violation]:
-    """All pages are beginnings of one list of tickets."""
+    """All pages are prefixes of one list of tickets."""
     pages = sorted(history.reads, key=lambda read: len(read.tickets))
     for shorter, longer in zip(pages, pages[1:], strict=False):
         if longer.tickets[: len(shorter.tickets)] != shorter.tickets:
@@ -51,8 +51,8 @@
 
 
 def check_one_content(history: History) -> Iterator[Violation]:
-    """Each number has one accepted content, whoever is asked."""
-    events_by_content_by_number: dict[int, dict[str, Any]] = defaultdict(dict)
+    """All answers show the same accepted content for a number."""
+    event_by_content_by_number: dict[int, dict[str, Any]] = defaultdict(dict)
     for put in history.puts:
         match put.result:
             case Accepted():
@@ -61,14 +61,14 @@
                 content = winner
             case _:
                 continue
-        events_by_content_by_number[put.number][content] = put
+        event_by_content_by_number[put.number][content] = put
         if isinstance(put.result, Lost) and content == put.content:
             yield Violation('one content', 'lost against itself', (put,))
     for page in history.reads:
         for ticket in page.tickets:
-            known = events_by_content_by_number[ticket.number]
-            known.setdefault(ticket.content, ticket)
-    for number, event_by_content in events_by_content_by_number.items():
+            first_event_by_content = event_by_content_by_number[ticket.number]
+            first_event_by_content.setdefault(ticket.content, ticket)
+    for number, event_by_content in event_by_content_by_number.items():
         if len(event_by_content) > 1:
             yield Violation(
                 'one content',
@@ -78,19 +78,19 @@
 
 
 def check_accepted_stay(history: History) -> Iterator[Violation]:
-    """What was accepted is on every page that is asked for afterwards."""
+    """An accepted ticket is on every page that is requested later."""
     for put in history.puts:
         if not isinstance(put.result, Accepted):
             continue
-        wanted = ReadTicket(put.number, put.result.version, put.content)
+        expected = ReadTicket(put.number, put.result.version, put.content)
         for page in history.reads:
-            if page.began_s > put.ended_s and wanted not in page.tickets:
+            if page.began_s > put.ended_s and expected not in page.tickets:
                 yield Violation('accepted stay', 'not there', (put, page))
                 break
 
 
 def check_first_answers(history: History) -> Iterator[Violation]:
-    """A resent ticket gets its first answer again."""
+    """A ticket that is sent again gets the same answer."""
     puts_by_ticket: dict[tuple[int, str], list[TicketPut]] = defaultdict(list)
     for put in history.puts:
         if not isinstance(put.result, TicketUnknown):
