--- a/tools/job_history/__init__.py
+++ b/tools/job_history/__init__.py
@@ -1,1 +1,1 @@
-"""Checked histories of scheduled jobs under faults: `make job-history`."""
+"""Checks recorded histories of jobs under faults: `make job-history`."""
--- a/tools/job_history/_callers.py
+++ b/tools/job_history/_callers.py
@@ -1,4 +1,4 @@
-"""Callers, and the operator, who record what they are told."""
+"""Callers and an operator that record the answers they receive."""
 
 import itertools
 import random
@@ -16,48 +16,48 @@
 from baobabgap.dispatch.tests.deployment import step
 from baobabgap.leaderlink import LeaderCalls
 from tools.job_history._control_group import ControlGroup
-from tools.job_history._moments import Moment
-from tools.job_history._moments import Moments
+from tools.job_history._injection_points import InjectionPoint
+from tools.job_history._injection_points import InjectionPoints
 from tools.job_history._records import Called
 from tools.job_history._records import ConfigurationRead
 from tools.job_history._records import JobHistory
 from tools.job_history._records import Put
 
-_ANSWER_S: Final = 3.0
+_ANSWER_TIMEOUT_S: Final = 3.0
 _PAUSE_S: Final = 0.15
 _CANCELLED_SHARE: Final = 0.1
 _STORED_SHARE: Final = 0.6
-_UNCLEAR: Final = (CallOutcome.UNKNOWN, CallOutcome.UNAVAILABLE)
-# Seconds that all that was accepted has to end once nothing is hurt.
-_SETTLE_S: Final = 25.0
+_RETRIED_OUTCOMES: Final = (CallOutcome.UNKNOWN, CallOutcome.UNAVAILABLE)
+# Time for all accepted jobs to end after the last fault.
+_SETTLE_TIMEOUT_S: Final = 25.0
 
 
 class Callers:
-    """Hands jobs in, resends what is unclear, cancels some, reads all."""
+    """Submits jobs, retries unknown outcomes, and cancels or reads jobs."""
 
     def __init__(
         self,
         entries: list[LeaderCalls],
         history: JobHistory,
-        moments: Moments,
+        points: InjectionPoints,
         seed: int,
     ) -> None:
-        self._moments = moments
+        self._points = points
         self._entries = entries
         self._history = history
         self._seed = seed
 
-    def call(self, number: int, over: threading.Event) -> None:
-        """Be one caller until it is over."""
-        chance = random.Random(f'{self._seed} caller {number}')
+    def run_caller(self, number: int, stopping: threading.Event) -> None:
+        """Run one caller until the run ends."""
+        rng = random.Random(f'{self._seed} caller {number}')
         for count in itertools.count():
-            if over.wait(chance.uniform(0.0, 2 * _PAUSE_S)):
+            if stopping.wait(rng.uniform(0.0, 2 * _PAUSE_S)):
                 return
-            self._serve_job(f'{number}-{count}', chance)
+            self._run_job(f'{number}-{count}', rng)
 
-    def _serve_job(self, job: str, chance: random.Random) -> None:
-        is_stored = chance.random() < _STORED_SHARE
-        tasks = chance.choice((1, 1, 2, 5))
+    def _run_job(self, job: str, rng: random.Random) -> None:
+        is_stored = rng.random() < _STORED_SHARE
+        tasks = rng.choice((1, 1, 2, 5))
         self._history.tasks_by_job[job] = tasks
         if is_stored:
             self._history.stored_jobs.add(job)
@@ -65,30 +65,30 @@
             0, QUEUE_HOST, PREFIX + job, '', (step(tasks, 40),), not is_stored
         )
         for _ in range(3):
-            entry = chance.choice(self._entries)
-            if self._ask('submit', job, call, entry) not in _UNCLEAR:
+            entry = rng.choice(self._entries)
+            if self._call('submit', job, call, entry) not in _RETRIED_OUTCOMES:
                 break
-        if is_stored and chance.random() < _CANCELLED_SHARE:
-            self.cancel(job, chance)
+        if is_stored and rng.random() < _CANCELLED_SHARE:
+            self.cancel(job, rng)
         elif is_stored:
-            self.read(job, chance.choice(self._entries))
+            self.read(job, rng.choice(self._entries))
 
-    def cancel(self, job: str, chance: random.Random) -> None:
+    def cancel(self, job: str, rng: random.Random) -> None:
         """Cancel a job."""
         call = CancelPath(0, QUEUE_HOST, PREFIX + job)
-        self._ask('cancel', job, call, chance.choice(self._entries))
+        self._call('cancel', job, call, rng.choice(self._entries))
 
     def read(self, job: str, entry: LeaderCalls) -> Called:
-        """Read a job's state."""
+        """Read a job's state; return the recorded call."""
         call = ReadPath(0, QUEUE_HOST, PREFIX + job)
-        self._ask('read', job, call, entry)
+        self._call('read', job, call, entry)
         return self._history.calls[-1]
 
     def settle(self) -> None:
-        """Wait for the ends of all stored jobs, and try a new one."""
+        """Wait for the ends of all stored jobs and submit a new one."""
         history = self._history
-        give_up_at = time.monotonic() + _SETTLE_S
-        waiting = {
+        give_up_at = time.monotonic() + _SETTLE_TIMEOUT_S
+        unfinished = {
             job
             for job in history.stored_jobs
             if any(
@@ -96,21 +96,21 @@
                 for call in history.calls_of(job, 'submit')
             )
         }
-        while waiting and time.monotonic() < give_up_at:
-            for job in sorted(waiting):
+        while unfinished and time.monotonic() < give_up_at:
+            for job in sorted(unfinished):
                 state = self.read(job, self._entries[0]).state
                 history.final_states[job] = state
                 if state in ('completed', 'failed', 'cancelled'):
-                    waiting.discard(job)
+                    unfinished.discard(job)
             time.sleep(_PAUSE_S)
         call = SubmitJob(
             0, QUEUE_HOST, f'{PREFIX}last', '', (step(2, 40),), True
         )
         history.tasks_by_job['last'] = 2
-        outcome = self._ask('submit', 'last', call, self._entries[-1])
+        outcome = self._call('submit', 'last', call, self._entries[-1])
         history.has_recovered = outcome is CallOutcome.FOUND
 
-    def _ask(
+    def _call(
         self,
         verb: str,
         job: str,
@@ -119,12 +119,12 @@
     ) -> CallOutcome:
         match call:
             case SubmitJob(is_volatile=False):
-                self._moments.reach(Moment.ACCEPT)
+                self._points.report(InjectionPoint.ACCEPT)
             case CancelPath():
-                self._moments.reach(Moment.CANCEL)
+                self._points.report(InjectionPoint.CANCEL)
         asked_at = time.monotonic()
         answer: CallAnswer = entry.ask(
-            call, _ANSWER_S, _ANSWER_S, lambda: False
+            call, _ANSWER_TIMEOUT_S, _ANSWER_TIMEOUT_S, lambda: False
         )
         self._history.add(
             Called(
@@ -140,26 +140,26 @@
 
 
 class Operator:
-    """Puts configurations with rising numbers, and reads them."""
+    """Puts configurations with increasing versions and reads them."""
 
     def __init__(
-        self, group: ControlGroup, history: JobHistory, moments: Moments
+        self, group: ControlGroup, history: JobHistory, points: InjectionPoints
     ) -> None:
-        self._moments = moments
+        self._points = points
         self._group = group
         self._history = history
 
-    def operate(self, over: threading.Event) -> None:
-        """Put and read until it is over."""
+    def run(self, stopping: threading.Event) -> None:
+        """Put and read until the run ends."""
         for version in itertools.count(2):
-            if over.wait(2 * _PAUSE_S):
+            if stopping.wait(2 * _PAUSE_S):
                 return
             self.put(version)
             self.read()
 
     def put(self, version: int) -> bool:
-        """Hand a version in at one host after the other."""
-        self._moments.reach(Moment.PUT)
+        """Put a version, trying each host; tell whether one accepted it."""
+        self._points.report(InjectionPoint.PUT)
         for process in self._group.processes:
             if process.ask('put', version)[0] == 'done':
                 self._history.add(Put(version, time.monotonic(), True))
@@ -168,7 +168,7 @@
         return False
 
     def read(self) -> None:
-        """Read at every host; one that doesn't lead may decline."""
+        """Read from every host; a host that isn't the leader may fail."""
         for process in self._group.processes:
             asked_at = time.monotonic()
             answer = process.ask('read')
--- a/tools/job_history/_cells.py
+++ b/tools/job_history/_cells.py
@@ -1,4 +1,4 @@
-"""Cells of the job matrix: a fault of control hosts at a named step."""
+"""Cells of the job matrix: a fault of control hosts at a step of a job."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,28 +11,28 @@
 
 from tools.job_history._control_group import ControlGroup
 from tools.job_history._control_group import ControlProcess
-from tools.job_history._moments import Moment
-from tools.job_history._moments import Moments
+from tools.job_history._injection_points import InjectionPoint
+from tools.job_history._injection_points import InjectionPoints
+from tools.job_history._run import FaultTargets
 from tools.job_history._run import JobRunResult
-from tools.job_history._run import play
-from tools.job_history._run import Players
+from tools.job_history._run import run_with_faults
 from tools.matrix import DiskFault
 
-# How often a fault strikes in a cell, and how often it may miss its step.
-_STRIKES: Final = 3
-_MOST_MISSES: Final = 2
-# Seconds after the step is reported within which the fault strikes.
-_LATEST_S: Final = 0.012
-_MOMENT_LIMIT_S: Final = 8.0
-_LEADER_LIMIT_S: Final = 10.0
-# Seconds that a fault lasts, and between two.
-_SHORTEST_S: Final = 0.2
-_LONGEST_S: Final = 1.5
-_REST_S: Final = 0.7
+# Faults injected in a cell, and missed steps after which the cell ends.
+_INJECTIONS: Final = 3
+_MAX_MISSES: Final = 2
+# The longest random delay between the step and the fault.
+_MAX_DELAY_S: Final = 0.012
+_POINT_TIMEOUT_S: Final = 8.0
+_LEADER_TIMEOUT_S: Final = 10.0
+# The range of a fault's duration, and the pause between two faults.
+_MIN_FAULT_S: Final = 0.2
+_MAX_FAULT_S: Final = 1.5
+_PAUSE_S: Final = 0.7
 
 
 class GroupFault(StrEnum):
-    """What is done to control hosts, the leader first."""
+    """A fault of control hosts; the leader is among those affected."""
 
     KILL = 'kill'
     FREEZE = 'freeze-and-thaw'
@@ -46,135 +46,140 @@
 
 @dataclass(frozen=True, slots=True)
 class CellResult:
-    """What came of one cell."""
+    """The result of one cell."""
 
-    moment: Moment
+    point: InjectionPoint
     fault: GroupFault
-    strikes: int
+    injections: int
     result: JobRunResult
 
     @property
     def verdict(self) -> str:
-        """`held`, `RED` or, if the step was missed, `not-run`."""
+        """`held`, `RED` or, if no fault was injected, `not-run`."""
         if self.result.breaches:
             return 'RED'
-        return 'held' if self.strikes else 'not-run'
+        return 'held' if self.injections else 'not-run'
 
     def line(self) -> str:
-        """Sum the cell up in one line."""
+        """Return a summary of the cell in one line."""
         return (
-            f'{self.moment} {self.fault} {self.verdict} {self.result.seed}'
-            f'  # {self.strikes} strikes, {len(self.result.history.runs)} runs'
+            f'{self.point} {self.fault} {self.verdict} {self.result.seed}'
+            f'  # {self.injections} strikes, '
+            f'{len(self.result.history.runs)} runs'
         )
 
 
-def run_cell(moment: Moment, fault: GroupFault, seed: int) -> CellResult:
-    """Play one cell; all randomness comes from the seed and the names."""
-    strikes = 0
+def run_cell(
+    point: InjectionPoint, fault: GroupFault, seed: int
+) -> CellResult:
+    """Run one cell; its random draws depend on the seed and the names."""
+    injections = 0
 
-    def strike(players: Players, over: threading.Event) -> None:
-        nonlocal strikes
-        striker = _Striker(players, f'{seed} {moment} {fault}')
-        strikes = striker.strike(moment, fault)
+    def inject(targets: FaultTargets, stopping: threading.Event) -> None:
+        nonlocal injections
+        injector = _CellInjector(targets, f'{seed} {point} {fault}')
+        injections = injector.inject(point, fault)
 
-    result = play(seed, [strike])
-    return CellResult(moment, fault, strikes, result)
+    result = run_with_faults(seed, [inject])
+    return CellResult(point, fault, injections, result)
 
 
-class _Striker:
-    """Does a fault at a step, again and again, and mends it."""
+class _CellInjector:
+    """Injects a fault at a step several times and repairs it each time."""
 
-    def __init__(self, players: Players, seed: str) -> None:
-        self._group: ControlGroup = players.group
-        self._moments: Moments = players.moments
-        self._chance = random.Random(seed)
+    def __init__(self, targets: FaultTargets, seed: str) -> None:
+        self._group: ControlGroup = targets.group
+        self._points: InjectionPoints = targets.points
+        self._rng = random.Random(seed)
 
-    def strike(self, moment: Moment, fault: GroupFault) -> int:
-        """Return how often the fault met its step."""
-        strikes = misses = 0
-        while strikes < _STRIKES and misses < _MOST_MISSES:
-            victim = self._wait_for(moment)
-            if victim is None:
+    def inject(self, point: InjectionPoint, fault: GroupFault) -> int:
+        """Inject the fault at its step; return the number of injections."""
+        injections = misses = 0
+        while injections < _INJECTIONS and misses < _MAX_MISSES:
+            target = self._wait_for_point(point)
+            if target is None:
                 misses += 1
                 continue
-            mend = self._do(fault, victim)
-            strikes += 1
-            time.sleep(self._chance.uniform(_SHORTEST_S, _LONGEST_S))
-            mend()
-            time.sleep(_REST_S)
-        return strikes
-
-    def _wait_for(self, moment: Moment) -> ControlProcess | None:
-        """Return the leader at the next such moment."""
+            repair = self._inject(fault, target)
+            injections += 1
+            time.sleep(self._rng.uniform(_MIN_FAULT_S, _MAX_FAULT_S))
+            repair()
+            time.sleep(_PAUSE_S)
+        return injections
+
+    def _wait_for_point(self, point: InjectionPoint) -> ControlProcess | None:
+        """Wait for the next such point; return the leader, None if missed."""
         leader = self._find_leader(None)
         if leader is None:
             return None
-        if moment is Moment.TAKE_OVER:
+        if point is InjectionPoint.TAKE_OVER:
             leader.kill()
-            heir = self._find_leader(leader)
+            new_leader = self._find_leader(leader)
             leader.start()
-            return heir
-        if not self._moments.wait_for_next(moment, _MOMENT_LIMIT_S):
+            return new_leader
+        if not self._points.wait_for_next(point, _POINT_TIMEOUT_S):
             return None
-        time.sleep(self._chance.uniform(0.0, _LATEST_S))
+        time.sleep(self._rng.uniform(0.0, _MAX_DELAY_S))
         return leader
 
     def _find_leader(
         self, other_than: ControlProcess | None
     ) -> ControlProcess | None:
-        give_up_at = time.monotonic() + _LEADER_LIMIT_S
+        give_up_at = time.monotonic() + _LEADER_TIMEOUT_S
         while time.monotonic() < give_up_at:
             leader = self._group.find_leader()
             if leader is not None and leader is not other_than:
                 return leader
         return None
 
-    def _do(
-        self, fault: GroupFault, victim: ControlProcess
+    def _inject(
+        self, fault: GroupFault, target: ControlProcess
     ) -> Callable[[], None]:
-        """Do a fault; return what mends it."""
+        """Inject a fault; return the function that repairs it."""
         processes = self._group.processes
         match fault:
             case GroupFault.KILL:
-                victim.kill()
-                return victim.start
+                target.kill()
+                return target.start
             case GroupFault.STOP:
-                victim.stop()
-                return victim.start
+                target.stop()
+                return target.start
             case GroupFault.FREEZE:
-                victim.signal(signal.SIGSTOP)
-                return lambda: victim.signal(signal.SIGCONT)
+                target.signal(signal.SIGSTOP)
+                return lambda: target.signal(signal.SIGCONT)
             case GroupFault.KILL_ALL:
                 return _kill(list(processes))
             case GroupFault.DOUBLE:
-                other = next(p for p in processes if p is not victim)
-                return _kill([victim, other])
+                other = next(p for p in processes if p is not target)
+                return _kill([target, other])
             case GroupFault.FULL_DISK:
-                return _hurt_disk(victim, DiskFault.FULL)
+                return _inject_disk_fault(target, DiskFault.FULL)
             case GroupFault.TORN_WRITE:
-                return _hurt_disk(victim, DiskFault.TORN)
+                return _inject_disk_fault(target, DiskFault.TORN)
             case GroupFault.SLOW_SYNC:
-                return _hurt_disk(victim, DiskFault.SLOW)
+                return _inject_disk_fault(target, DiskFault.SLOW)
 
 
-def _kill(victims: list[ControlProcess]) -> Callable[[], None]:
-    for victim in victims:
-        victim.kill()
+def _kill(targets: list[ControlProcess]) -> Callable[[], None]:
+    for target in targets:
+        target.kill()
 
     def start() -> None:
-        for victim in victims:
-            victim.start()
+        for target in targets:
+            target.start()
 
     return start
 
 
-def _hurt_disk(victim: ControlProcess, fault: DiskFault) -> Callable[[], None]:
-    victim.set_disk_fault(fault)
+def _inject_disk_fault(
+    target: ControlProcess, fault: DiskFault
+) -> Callable[[], None]:
+    target.set_disk_fault(fault)
 
-    def mend() -> None:
-        victim.set_disk_fault(None)
-        # A host that has lost a write may have ended, or takes no more.
-        victim.kill()
-        victim.start()
+    def repair() -> None:
+        target.set_disk_fault(None)
+        # A host that has lost a write may have ended or accept no writes.
+        target.kill()
+        target.start()
 
-    return mend
+    return repair
--- a/tools/job_history/_control_daemon.py
+++ b/tools/job_history/_control_daemon.py
@@ -1,7 +1,8 @@
-"""One control host as a process, which takes requests line by line.
+"""A control host that serves requests on its standard input.
 
-A line is a JSON list, `["put", version]` or `["read"]`; so is the answer,
-`["done", version]` or `["failed", why]`.
+A request is a line with a JSON list, `["put", version]` or `["read"]`. The
+answer is a line on standard error, `["done", version]` or
+`["failed", reason]`.
 """
 
 import json
@@ -16,13 +17,13 @@
 from baobabgap.settings import settings_from_document
 from tools.matrix._daemon import install_faulty_disk
 
-# Longer than any run: states of ended jobs may be forgotten after it.
+# Longer than any run, as states of ended jobs may be discarded after it.
 _RETENTION_MS: Final = 1_800_000
-_REQUEST_LIMIT_S: Final = 2.0
+_REQUEST_TIMEOUT_S: Final = 2.0
 
 
 def run_host(document: str) -> None:
-    """Be one host, until the input ends."""
+    """Run a host until the input ends."""
     install_faulty_disk()
     settings = settings_from_document(
         json.loads(document), source='the command line'
@@ -32,9 +33,9 @@
         ControlNodeOptions(LeaseTiming(), _RETENTION_MS, 1.5, 3, 60.0),
     )
     node.start()
-    _say(['started', node.internal_port])
+    _write_answer(['started', node.internal_port])
     for line in sys.stdin:
-        _say(_answer(node, json.loads(line)))
+        _write_answer(_answer(node, json.loads(line)))
     node.stop()
 
 
@@ -43,17 +44,17 @@
         match request:
             case ['put', version]:
                 stored = node.put_configuration(configuration(version))
-                stored.result(_REQUEST_LIMIT_S)
+                stored.result(_REQUEST_TIMEOUT_S)
                 return ['done', version]
             case _:
-                read = node.read_configuration().result(_REQUEST_LIMIT_S)
+                read = node.read_configuration().result(_REQUEST_TIMEOUT_S)
                 return ['done', 0 if read is None else read.version]
     except Exception as error:
-        # Whatever it is, whoever asks must learn that there is no answer.
+        # The caller waits for an answer, so every error must produce one.
         return ['failed', repr(error)]
 
 
-def _say(answer: list[Any]) -> None:
+def _write_answer(answer: list[Any]) -> None:
     print(json.dumps(answer), file=sys.stderr, flush=True)
 
 
--- a/tools/job_history/_control_group.py
+++ b/tools/job_history/_control_group.py
@@ -1,4 +1,4 @@
-"""Control hosts as processes, stopped and hurt by signals."""
+"""Control hosts as processes that faults can be injected into."""
 
 import json
 from pathlib import Path
@@ -16,25 +16,25 @@
 from tools.matrix import disk_fault_file
 from tools.matrix import DiskFault
 
-_ANSWER_LIMIT_S: Final = 5.0
-_START_LIMIT_S: Final = 30.0
-_STOP_LIMIT_S: Final = 20.0
+_ANSWER_TIMEOUT_S: Final = 5.0
+_START_TIMEOUT_S: Final = 30.0
+_STOP_TIMEOUT_S: Final = 20.0
 
 
 class ControlProcess:
-    """One process; all it printed goes to a file in the folder."""
+    """A control host process; its standard output goes to a file."""
 
     def __init__(self, name: str, document: Any, folder: Path) -> None:
         self.name: Final = name
         self._document = json.dumps(document)
         self._log = folder / f'{name}.out'
-        self._disk_orders = disk_fault_file(folder / name)
+        self._disk_fault_file = disk_fault_file(folder / name)
         self._child: subprocess.Popen[str] | None = None
         self._answers: queue.Queue[list[Any]] = queue.Queue()
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Start the process on its own data."""
+        """Start the process and wait until it answers."""
         answers: queue.Queue[list[Any]] = queue.Queue()
         with self._log.open('ab') as log:
             child = subprocess.Popen(
@@ -51,12 +51,12 @@
             )
         self._child, self._answers = child, answers
         threading.Thread(
-            target=_take_answers, args=(child, answers), daemon=True
+            target=_read_answers, args=(child, answers), daemon=True
         ).start()
-        answers.get(timeout=_START_LIMIT_S)
+        answers.get(timeout=_START_TIMEOUT_S)
 
     def ask(self, *request: Any) -> list[Any]:
-        """Return the answer to one request, or why there is none."""
+        """Return the answer to one request, or the reason for a failure."""
         with self._lock:
             child, answers = self._child, self._answers
             if child is None or child.stdin is None:
@@ -64,9 +64,9 @@
             try:
                 child.stdin.write(json.dumps(request) + '\n')
                 child.stdin.flush()
-                return answers.get(timeout=_ANSWER_LIMIT_S)
+                return answers.get(timeout=_ANSWER_TIMEOUT_S)
             except (OSError, ValueError, queue.Empty) as error:
-                # A late answer must not be taken for that of a later request.
+                # A late answer must not be read as that of a later request.
                 self._answers = queue.Queue()
                 return ['failed', repr(error)]
 
@@ -76,42 +76,42 @@
             self._child.send_signal(number)
 
     def set_disk_fault(self, fault: DiskFault | None) -> None:
-        """Have the disk fail from now on, or work again."""
+        """Set or clear the fault of the disk."""
         if fault is None:
-            self._disk_orders.unlink(missing_ok=True)
+            self._disk_fault_file.unlink(missing_ok=True)
         else:
-            self._disk_orders.write_text(fault)
+            self._disk_fault_file.write_text(fault)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         child, self._child = self._child, None
         if child is not None:
             child.kill()
             child.wait()
 
     def stop(self) -> None:
-        """End it as planned, or at once if that takes too long."""
+        """Shut the process down gracefully; kill it after a time limit."""
         child, self._child = self._child, None
         if child is None or child.stdin is None:
             return
         try:
             child.stdin.close()
-            child.wait(_STOP_LIMIT_S)
+            child.wait(_STOP_TIMEOUT_S)
         except (OSError, subprocess.TimeoutExpired):
             child.kill()
             child.wait()
 
 
 class ControlGroup:
-    """Three hosts; a context manager that ends what it has started."""
+    """A group of control hosts; a context manager that stops them."""
 
     def __init__(self, folder: Path, hosts: int = 3) -> None:
-        listed = [
+        host_documents = [
             {'name': f'control-{n}', 'host': HOST, 'port': free_port()}
             for n in range(hosts)
         ]
         self.addresses = tuple(
-            f'{host["host"]}:{host["port"]}' for host in listed
+            f'{host["host"]}:{host["port"]}' for host in host_documents
         )
         self.processes = tuple(
             ControlProcess(
@@ -123,7 +123,7 @@
                         'host': HOST,
                         'internal_port': host['port'],
                     },
-                    'control_hosts': listed,
+                    'control_hosts': host_documents,
                     'links': {'heartbeat_s': 0.2, 'silence_s': 1.0},
                     'control': {
                         'data_folder': str(folder / str(host['name'])),
@@ -132,7 +132,7 @@
                 },
                 folder,
             )
-            for host in listed
+            for host in host_documents
         )
 
     def __enter__(self) -> Self:
@@ -146,14 +146,14 @@
             process.stop()
 
     def find_leader(self) -> ControlProcess | None:
-        """Return a host that answers a read, which only a leader does."""
+        """Return the leader, the only host that answers reads, or None."""
         for process in self.processes:
             if process.ask('read')[0] == 'done':
                 return process
         return None
 
 
-def _take_answers(
+def _read_answers(
     child: subprocess.Popen[str], answers: queue.Queue[list[Any]]
 ) -> None:
     assert child.stderr is not None
--- a/tools/job_history/_deployment.py
+++ b/tools/job_history/_deployment.py
@@ -1,4 +1,4 @@
-"""Control hosts as processes; agents, entries and upstreams here."""
+"""Entries, agents and upstreams, which run in this process."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -14,7 +14,7 @@
 from baobabgap.telemetry import Metrics
 from baobabgap.upstreams import RunAgent
 from tools.job_history._control_group import ControlGroup
-from tools.job_history._moments import Moments
+from tools.job_history._injection_points import InjectionPoints
 from tools.job_history._recorded_upstream import RecordedUpstream
 
 _ENTRIES: Final = 2
@@ -29,13 +29,13 @@
         self,
         group: ControlGroup,
         pool: ThreadPoolExecutor,
-        moments: Moments,
+        points: InjectionPoints,
         seed: int,
     ) -> None:
         self._group = group
         self._pool = pool
         self.upstreams = [
-            RecordedUpstream(100 * seed + number, moments)
+            RecordedUpstream(100 * seed + number, points)
             for number in range(_UPSTREAMS)
         ]
         self.entries = [LeaderCalls() for _ in range(_ENTRIES)]
@@ -63,14 +63,14 @@
             link.start()
 
     def stop(self) -> None:
-        """Stop them."""
+        """Stop links and agents."""
         for link in self._links:
             link.stop()
         for agent in self._agents:
             agent.stop()
 
     def announce(self, number: int) -> None:
-        """Tell an agent which life its upstream lives."""
+        """Announce the current instance of an upstream to its agent."""
         self._agents[number].announce(
             describe_upstream(number, self.upstreams[number].born_ms, _CORES)
         )
--- a/tools/job_history/_faults.py
+++ b/tools/job_history/_faults.py
@@ -1,4 +1,4 @@
-"""Faults by a seed, in two lanes: control hosts, and upstreams."""
+"""Seeded random faults of control hosts and of upstreams."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,18 +11,18 @@
 from tools.job_history._control_group import ControlProcess
 from tools.job_history._recorded_upstream import RecordedUpstream
 
-# Seconds that a fault lasts.
-_SHORTEST_S: Final = 0.1
-_LONGEST_S: Final = 2.0
-# Seconds between two faults of a lane, at most.
-_LONGEST_PAUSE_S: Final = 1.5
+# The range of a fault's duration.
+_MIN_FAULT_S: Final = 0.1
+_MAX_FAULT_S: Final = 2.0
+# The longest pause between two faults of one kind of process.
+_MAX_PAUSE_S: Final = 1.5
 # The share of faults of the control group that hit its leader.
 _LEADER_SHARE: Final = 0.6
-_LOST_SHARE: Final = 0.4
+_LOST_ANSWER_SHARE: Final = 0.4
 
 
 class Faults:
-    """Does one fault after the other, and mends each."""
+    """Injects one fault after the other and repairs each."""
 
     def __init__(
         self,
@@ -33,85 +33,85 @@
     ) -> None:
         self._group = group
         self._upstreams = upstreams
-        # Tells the agent of an upstream that it has begun a new life.
+        # Announces an upstream's new instance to its agent, by number.
         self._announce = announce
         self._seed = seed
         self._lock = threading.Lock()
         self.counts: Counter[str] = Counter()
 
-    def hurt_control(self, over: threading.Event) -> None:
-        """Hurt control hosts until it is over."""
-        chance = random.Random(f'{self._seed} control')
+    def inject_control_faults(self, stopping: threading.Event) -> None:
+        """Inject faults into control hosts until the run ends."""
+        rng = random.Random(f'{self._seed} control')
         faults = (self._kill, self._freeze, self._stop, self._kill_all)
-        while not over.wait(chance.uniform(0.0, _LONGEST_PAUSE_S)):
-            fault = chance.choices(faults, (4, 4, 2, 1))[0]
+        while not stopping.wait(rng.uniform(0.0, _MAX_PAUSE_S)):
+            fault = rng.choices(faults, (4, 4, 2, 1))[0]
             self._count(fault.__name__)
-            fault(chance)
+            fault(rng)
 
-    def hurt_upstreams(self, over: threading.Event) -> None:
-        """Hurt upstreams until it is over."""
-        chance = random.Random(f'{self._seed} upstreams')
+    def inject_upstream_faults(self, stopping: threading.Event) -> None:
+        """Inject faults into upstreams until the run ends."""
+        rng = random.Random(f'{self._seed} upstreams')
         faults = (self._crash, self._silence, self._lose_answers)
-        while not over.wait(chance.uniform(0.0, _LONGEST_PAUSE_S)):
-            fault = chance.choice(faults)
+        while not stopping.wait(rng.uniform(0.0, _MAX_PAUSE_S)):
+            fault = rng.choice(faults)
             self._count(fault.__name__)
-            fault(chance)
+            fault(rng)
 
     def _count(self, name: str) -> None:
         with self._lock:
             self.counts[name.strip('_')] += 1
 
-    def _pick(self, chance: random.Random) -> ControlProcess:
-        if chance.random() < _LEADER_SHARE:
+    def _choose_process(self, rng: random.Random) -> ControlProcess:
+        if rng.random() < _LEADER_SHARE:
             leader = self._group.find_leader()
             if leader is not None:
                 return leader
-        return chance.choice(self._group.processes)
+        return rng.choice(self._group.processes)
 
-    def _kill(self, chance: random.Random) -> None:
-        process = self._pick(chance)
+    def _kill(self, rng: random.Random) -> None:
+        process = self._choose_process(rng)
         process.kill()
-        _pause(chance)
+        _pause(rng)
         process.start()
 
-    def _stop(self, chance: random.Random) -> None:
-        process = self._pick(chance)
+    def _stop(self, rng: random.Random) -> None:
+        process = self._choose_process(rng)
         process.stop()
-        _pause(chance)
+        _pause(rng)
         process.start()
 
-    def _freeze(self, chance: random.Random) -> None:
-        process = self._pick(chance)
+    def _freeze(self, rng: random.Random) -> None:
+        process = self._choose_process(rng)
         process.signal(signal.SIGSTOP)
-        _pause(chance)
+        _pause(rng)
         process.signal(signal.SIGCONT)
 
-    def _kill_all(self, chance: random.Random) -> None:
+    def _kill_all(self, rng: random.Random) -> None:
         for process in self._group.processes:
             process.kill()
-        _pause(chance)
+        _pause(rng)
         for process in self._group.processes:
             process.start()
 
-    def _crash(self, chance: random.Random) -> None:
-        number = chance.randrange(len(self._upstreams))
+    def _crash(self, rng: random.Random) -> None:
+        number = rng.randrange(len(self._upstreams))
         upstream = self._upstreams[number]
         upstream.restart(upstream.born_ms + 1)
         self._announce(number)
 
-    def _silence(self, chance: random.Random) -> None:
-        upstream = chance.choice(self._upstreams)
+    def _silence(self, rng: random.Random) -> None:
+        upstream = rng.choice(self._upstreams)
         upstream.is_silent = True
-        _pause(chance)
+        _pause(rng)
         upstream.is_silent = False
 
-    def _lose_answers(self, chance: random.Random) -> None:
+    def _lose_answers(self, rng: random.Random) -> None:
         for upstream in self._upstreams:
-            upstream.lost_share = _LOST_SHARE
-        _pause(chance)
+            upstream.lost_answer_share = _LOST_ANSWER_SHARE
+        _pause(rng)
         for upstream in self._upstreams:
-            upstream.lost_share = 0.0
+            upstream.lost_answer_share = 0.0
 
 
-def _pause(chance: random.Random) -> None:
-    threading.Event().wait(chance.uniform(_SHORTEST_S, _LONGEST_S))
+def _pause(rng: random.Random) -> None:
+    threading.Event().wait(rng.uniform(_MIN_FAULT_S, _MAX_FAULT_S))
--- a/tools/job_history/_recorded_upstream.py
+++ b/tools/job_history/_recorded_upstream.py
@@ -12,12 +12,12 @@
 from baobabgap.dispatch.tests.fake_upstream import FakeUpstream
 from baobabgap.upstreams import StartOutcome
 from baobabgap.upstreams import UpstreamReport
-from tools.job_history._moments import Moment
-from tools.job_history._moments import Moments
+from tools.job_history._injection_points import InjectionPoint
+from tools.job_history._injection_points import InjectionPoints
 
-# The longest time that an unanswered order takes to be carried out, seconds.
-_LATEST_S: Final = 2.0
-# The share of runs that fail by themselves.
+# The longest delay until an unanswered order is carried out.
+_MAX_DELAY_S: Final = 2.0
+# The share of runs that fail without an injected fault.
 _FAILURE_SHARE: Final = 0.03
 
 
@@ -30,32 +30,33 @@
     began_at: float
     ended_at: float = float('inf')
     end: RunEnd | None = None
-    # The number of its end in the upstream's life, and when that was noted.
+    # The number of its end at the upstream's instance, and when the end was
+    # acknowledged as recorded.
     number: int = 0
     noted_at: float = float('inf')
 
 
 class RecordedUpstream(FakeUpstream):
-    """Loses a share of the answers to starts while told to."""
+    """Records runs and can lose a share of the answers to starts."""
 
-    def __init__(self, seed: int, moments: Moments) -> None:
-        self._moments = moments
+    def __init__(self, seed: int, points: InjectionPoints) -> None:
+        self._points = points
         self.records: list[RunRecord] = []
-        self._open: dict[TaskId, RunRecord] = {}
-        self._chance = random.Random(seed)
-        # The share of starts that are not answered and carried out late.
-        self.lost_share = 0.0
+        self._open_records: dict[TaskId, RunRecord] = {}
+        self._rng = random.Random(seed)
+        # The share of starts that are not answered and are carried out late.
+        self.lost_answer_share = 0.0
         super().__init__(born_ms=1, run_ms=40)
 
     def start(
         self, instance: str, order: RunOrder, fence: int, lease_until_ms: int
     ) -> tuple[StartOutcome, int]:
-        self._moments.reach(Moment.ORDER)
-        if self._chance.random() >= self.lost_share:
+        self._points.report(InjectionPoint.ORDER)
+        if self._rng.random() >= self.lost_answer_share:
             return super().start(instance, order, fence, lease_until_ms)
         born_ms = self.born_ms
         timer = threading.Timer(
-            self._chance.uniform(0.0, _LATEST_S),
+            self._rng.uniform(0.0, _MAX_DELAY_S),
             lambda: self._carry_out_late(
                 born_ms, order, fence, lease_until_ms
             ),
@@ -73,7 +74,7 @@
             if len(self.starts) > before:
                 record = RunRecord(order.task, order.run, time.monotonic())
                 self.records.append(record)
-                self._open[order.task] = record
+                self._open_records[order.task] = record
             return outcome
 
     def poll(
@@ -84,20 +85,20 @@
         lease_until_ms: int,
         wait_ms: int,
     ) -> UpstreamReport | None:
-        holding = super().poll(instance, fence, noted, lease_until_ms, wait_ms)
-        if holding is not None:
+        report = super().poll(instance, fence, noted, lease_until_ms, wait_ms)
+        if report is not None:
             now = time.monotonic()
             with self._lock:
                 for record in self._ended_records:
                     if record.number <= noted:
                         record.noted_at = min(record.noted_at, now)
-        return holding
+        return report
 
     def restart(self, born_ms: int) -> None:
         with self._lock:
             self._advance()
             now = time.monotonic()
-            for record in self._open.values():
+            for record in self._open_records.values():
                 record.ended_at = now
                 record.end = RunEnd.INTERRUPTED
             super().restart(born_ms)
@@ -111,20 +112,20 @@
 
     def _start_instance(self) -> None:
         super()._start_instance()
-        self._open = {}
+        self._open_records = {}
         self._ended_records: list[RunRecord] = []
 
     def _end(self, task: TaskId, end: RunEnd) -> None:
         run = self._running[task]
-        is_own_fault = self._chance.random() < _FAILURE_SHARE
-        if end is RunEnd.DONE and is_own_fault:
+        fails_at_random = self._rng.random() < _FAILURE_SHARE
+        if end is RunEnd.DONE and fails_at_random:
             end = RunEnd.FAILED
-        # What is found out late has ended when the lease or the work did.
+        # An end noticed late happened when the lease or the work ended.
         ended_ms = min(self.clock_ms, run.done_at_ms, self._lease_ms)
         super()._end(task, end)
-        record = self._open.pop(task)
+        record = self._open_records.pop(task)
         record.end = end
         record.number = self._last_number
         record.ended_at = self._began_at + ended_ms / 1000
         self._ended_records.append(record)
-        self._moments.reach(Moment.NOTE_END)
+        self._points.report(InjectionPoint.NOTE_END)
--- a/tools/job_history/_records.py
+++ b/tools/job_history/_records.py
@@ -1,4 +1,6 @@
-"""What callers and operators have seen; times are monotonic seconds."""
+"""Records of callers and operators.
+
+Times are seconds on the monotonic clock."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -24,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """A configuration was handed in, and acknowledged or not."""
+    """One attempt to put a configuration."""
 
     version: int
     answered_at: float
@@ -33,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRead:
-    """A control host has said which version is in force."""
+    """The version in force, as a control host answered."""
 
     asked_at: float
     version: int
@@ -41,7 +43,7 @@
 
 @dataclass(slots=True)
 class JobHistory:
-    """Everything that is checked afterwards."""
+    """All records of one run."""
 
     tasks_by_job: dict[str, int] = field(default_factory=dict)
     stored_jobs: set[str] = field(default_factory=set)
@@ -49,16 +51,16 @@
     puts: list[Put] = field(default_factory=list)
     reads: list[ConfigurationRead] = field(default_factory=list)
     runs: list[RunRecord] = field(default_factory=list)
-    # Stored jobs' states at the end, empty if there was no answer.
+    # Stored jobs' states after the run, empty without an answer.
     final_states: dict[str, str] = field(default_factory=dict)
     # Whether a new job was served after all faults.
     has_recovered: bool = False
-    # How many faults of each kind were done.
+    # The number of injected faults by kind.
     fault_counts: dict[str, int] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def add(self, record: Called | Put | ConfigurationRead) -> None:
-        """Keep a record; may be called by any thread."""
+        """Add a record; thread-safe."""
         with self._lock:
             match record:
                 case Called():
--- a/tools/job_history/_rules.py
+++ b/tools/job_history/_rules.py
@@ -1,4 +1,4 @@
-"""The promises, checked on a history; each returns what breaks it."""
+"""Rules for job histories; each rule yields its violations."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -12,13 +12,13 @@
 from tools.job_history._recorded_upstream import RunRecord
 from tools.job_history._records import JobHistory
 
-# Seconds within which no start follows a cancel or a noted end: what is under
-# way in links and queues when that is acknowledged.
+# Starts that are in flight in links and queues when a cancellation or an end
+# is acknowledged may still take place within this time.
 _IN_FLIGHT_S: Final = 1.0
 
 
 def check(history: JobHistory) -> list[str]:
-    """Return every breach as `rule: what was seen`."""
+    """Return all violations as `rule: records that show it`."""
     return [
         f'{rule.__name__}: {breach}'
         for rule in _RULES
@@ -35,20 +35,21 @@
 
 
 def no_start_after_a_noted_end(history: JobHistory) -> Iterator[str]:
-    """A task of a stored job doesn't start after it is noted as done."""
+    """A task of a stored job doesn't start after it is recorded as done."""
     for task, runs in _runs_by_task(history).items():
         if task.job_id not in history.stored_jobs:
             continue
         done = [run for run in runs if run.end is RunEnd.DONE]
         for end in done:
             for run in runs:
-                # One that was noted later too counts: it was no use.
+                # A start before the end was recorded counts too: that run
+                # was wasted.
                 if run.began_at > end.ended_at and end.noted_at < float('inf'):
                     yield f'{task}: {run} after {end}'
 
 
 def no_start_beyond_the_attempts(history: JobHistory) -> Iterator[str]:
-    """A stored job's task doesn't start after its last failed attempt."""
+    """A stored job's task doesn't start once all its attempts failed."""
     for task, runs in _runs_by_task(history).items():
         if task.job_id not in history.stored_jobs:
             continue
@@ -65,7 +66,7 @@
 
 
 def no_start_after_a_cancel(history: JobHistory) -> Iterator[str]:
-    """Nothing starts after a cancel was acknowledged."""
+    """No task of a job starts after its cancellation is acknowledged."""
     for call in history.calls:
         if call.verb != 'cancel' or call.outcome is not CallOutcome.CANCELLED:
             continue
@@ -76,7 +77,7 @@
 
 
 def no_start_of_what_was_refused(history: JobHistory) -> Iterator[str]:
-    """A job all of whose submissions were refused has not run."""
+    """A job whose submissions were all refused has not run."""
     started = {run.task.job_id for run in history.runs}
     refusals = (CallOutcome.OVERLOADED, CallOutcome.UNAVAILABLE)
     for job in started:
@@ -86,7 +87,7 @@
 
 
 def accepted_jobs_end(history: JobHistory) -> Iterator[str]:
-    """What was accepted is known and ends, with a reason if not whole."""
+    """An accepted job ends; a failure or cancellation has a cause."""
     for job in history.stored_jobs:
         submitted = history.calls_of(job, 'submit')
         if not any(c.outcome is CallOutcome.ACCEPTED for c in submitted):
@@ -102,7 +103,7 @@
 
 
 def known_once_accepted(history: JobHistory) -> Iterator[str]:
-    """No read says that an accepted job doesn't exist."""
+    """No read after the acceptance of a job reports it as unknown."""
     for job in history.stored_jobs:
         accepted_at = min(
             (
@@ -121,7 +122,7 @@
 
 
 def configuration_never_goes_back(history: JobHistory) -> Iterator[str]:
-    """A read shows at least what was acknowledged before it was asked."""
+    """A read shows no version older than one acknowledged before it."""
     for read in history.reads:
         acknowledged = max(
             (
@@ -136,7 +137,7 @@
 
 
 def serves_again(history: JobHistory) -> Iterator[str]:
-    """After the faults a new job is served."""
+    """A new job completes after the faults."""
     if not history.has_recovered:
         yield 'no new job was served after the faults'
 
--- a/tools/job_history/_run.py
+++ b/tools/job_history/_run.py
@@ -1,4 +1,4 @@
-"""One run by a seed: members, callers and faults, then the check."""
+"""Runs a deployment under seeded faults and checks its history."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,27 +17,27 @@
 from tools.job_history._control_group import ControlGroup
 from tools.job_history._deployment import Members
 from tools.job_history._faults import Faults
-from tools.job_history._moments import Moments
+from tools.job_history._injection_points import InjectionPoints
 from tools.job_history._records import JobHistory
 from tools.job_history._rules import check
 
-_CALLERS: Final = 6
+_CALLER_COUNT: Final = 6
 _THREADS: Final = 256
-_START_LIMIT_S: Final = 30.0
-# Seconds until no order is under way that may yet be carried out late.
-_QUIET_S: Final = 2.5
+_START_TIMEOUT_S: Final = 30.0
+# Longer than the longest delay of an order that is carried out late.
+_LATE_ORDER_WAIT_S: Final = 2.5
 
 
 @dataclass(frozen=True, slots=True)
 class JobRunResult:
-    """What a run has recorded, and what is wrong with it."""
+    """The history of a run and its violations of the rules."""
 
     seed: int
     history: JobHistory
     breaches: tuple[str, ...]
 
     def line(self) -> str:
-        """Sum the run up in one line."""
+        """Return a summary of the run in one line."""
         history = self.history
         verdict = 'RED' if self.breaches else 'held'
         faults = ', '.join(
@@ -52,56 +52,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Players:
-    """What faults are done to, and when."""
+class FaultTargets:
+    """What faults are injected into, and the points to inject them at."""
 
     group: ControlGroup
     members: Members
-    moments: Moments
+    points: InjectionPoints
 
 
-# Does faults until it is done, or until the event is set.
-Hurt = Callable[[Players, threading.Event], None]
+# Injects faults until it returns or the event is set.
+FaultInjector = Callable[[FaultTargets, threading.Event], None]
 
 
 def run(seed: int, seconds: float) -> JobRunResult:
-    """Play for some seconds under random faults, and check."""
+    """Run for some seconds under random faults and check the history."""
     counts: Counter[str] = Counter()
 
-    def hurt(players: Players, over: threading.Event) -> None:
-        members = players.members
+    def inject_faults(
+        targets: FaultTargets, stopping: threading.Event
+    ) -> None:
+        members = targets.members
         faults = Faults(
-            players.group, members.upstreams, members.announce, seed
+            targets.group, members.upstreams, members.announce, seed
         )
-        others = threading.Thread(target=faults.hurt_upstreams, args=(over,))
-        others.start()
-        faults.hurt_control(over)
-        others.join()
+        upstream_thread = threading.Thread(
+            target=faults.inject_upstream_faults, args=(stopping,)
+        )
+        upstream_thread.start()
+        faults.inject_control_faults(stopping)
+        upstream_thread.join()
         counts.update(faults.counts)
 
-    result = play(seed, [hurt], seconds)
+    result = run_with_faults(seed, [inject_faults], seconds)
     result.history.fault_counts = dict(counts)
     return result
 
 
-def play(
-    seed: int, hurts: list[Hurt], seconds: float = math.inf
+def run_with_faults(
+    seed: int, injectors: list[FaultInjector], seconds: float = math.inf
 ) -> JobRunResult:
-    """Let callers work while faults are done, let all settle, and check.
+    """Run callers under faults, wait for all jobs and check the history.
 
-    It lasts until all faults are done, or for some seconds.
+    Callers stop when all injectors have returned, or after `seconds`.
     """
     history = JobHistory()
-    moments = Moments()
+    points = InjectionPoints()
     with (
         tempfile.TemporaryDirectory(prefix='baobabgap-') as folder,
         ThreadPoolExecutor(_THREADS) as pool,
         ControlGroup(Path(folder)) as group,
     ):
-        members = Members(group, pool, moments, seed)
-        players = Players(group, members, moments)
+        members = Members(group, pool, points, seed)
+        targets = FaultTargets(group, members, points)
         try:
-            _record(players, pool, history, seed, hurts, seconds)
+            _run_workload(targets, pool, history, seed, injectors, seconds)
         finally:
             members.stop()
         for upstream in members.upstreams:
@@ -109,38 +113,41 @@
     return JobRunResult(seed, history, tuple(check(history)))
 
 
-def _record(
-    players: Players,
+def _run_workload(
+    targets: FaultTargets,
     pool: ThreadPoolExecutor,
     history: JobHistory,
     seed: int,
-    hurts: list[Hurt],
+    injectors: list[FaultInjector],
     seconds: float,
 ) -> None:
-    members, moments = players.members, players.moments
+    members, points = targets.members, targets.points
     members.start()
-    operator = Operator(players.group, history, moments)
-    give_up_at = time.monotonic() + _START_LIMIT_S
+    operator = Operator(targets.group, history, points)
+    give_up_at = time.monotonic() + _START_TIMEOUT_S
     while not operator.put(1):
         if time.monotonic() > give_up_at:
             raise TimeoutError('no leader took the first configuration')
         time.sleep(0.1)
-    callers = Callers(members.entries, history, moments, seed)
-    over = threading.Event()
-    hurting = [pool.submit(hurt, players, over) for hurt in hurts]
-    working = [
-        pool.submit(operator.operate, over),
+    callers = Callers(members.entries, history, points, seed)
+    stopping = threading.Event()
+    fault_futures = [
+        pool.submit(inject_faults, targets, stopping)
+        for inject_faults in injectors
+    ]
+    worker_futures = [
+        pool.submit(operator.run, stopping),
         *(
-            pool.submit(callers.call, number, over)
-            for number in range(_CALLERS)
+            pool.submit(callers.run_caller, number, stopping)
+            for number in range(_CALLER_COUNT)
         ),
     ]
     try:
-        wait(hurting, None if seconds == math.inf else seconds)
+        wait(fault_futures, None if seconds == math.inf else seconds)
     finally:
-        over.set()
-    for future in (*hurting, *working):
+        stopping.set()
+    for future in (*fault_futures, *worker_futures):
         future.result()
     callers.settle()
     operator.read()
-    time.sleep(_QUIET_S)
+    time.sleep(_LATE_ORDER_WAIT_S)
--- a/tools/job_history/matrix.py
+++ b/tools/job_history/matrix.py
@@ -1,4 +1,4 @@
-"""Plays every fault at every step: `make job-matrix`.
+"""Injects every fault at every step of a job: `make job-matrix`.
 
 The exit status is 1 if a cell is RED.
 """
@@ -13,32 +13,32 @@
 from tools.job_history._cells import CellResult
 from tools.job_history._cells import GroupFault
 from tools.job_history._cells import run_cell
-from tools.job_history._moments import Moment
+from tools.job_history._injection_points import InjectionPoint
 
-_CELLS_AT_ONCE: Final = 3
+_CONCURRENT_CELLS: Final = 3
 
 
 def main() -> int:
-    """Play the chosen cells and print a line for each."""
+    """Run the chosen cells, print a line for each; return the status."""
     arguments = _parser().parse_args()
-    moments = [Moment(name) for name in _names(arguments.steps)] or list(
-        Moment
-    )
+    points = [
+        InjectionPoint(name) for name in _names(arguments.steps)
+    ] or list(InjectionPoint)
     faults = [GroupFault(name) for name in _names(arguments.faults)] or list(
         GroupFault
     )
     lock = threading.Lock()
 
-    def run(moment: Moment, fault: GroupFault) -> CellResult:
-        cell = run_cell(moment, fault, arguments.seed)
+    def run(point: InjectionPoint, fault: GroupFault) -> CellResult:
+        cell = run_cell(point, fault, arguments.seed)
         with lock:
             print(cell.line(), flush=True)
             for breach in cell.result.breaches:
                 print(f'  {breach}', flush=True)
         return cell
 
-    pairs = [(moment, fault) for moment in moments for fault in faults]
-    with ThreadPoolExecutor(_CELLS_AT_ONCE) as pool:
+    pairs = [(point, fault) for point in points for fault in faults]
+    with ThreadPoolExecutor(_CONCURRENT_CELLS) as pool:
         cells = list(pool.map(lambda pair: run(*pair), pairs))
     counts = Counter(cell.verdict for cell in cells)
     print(
