--- a/tools/matrix/_callers.py
+++ b/tools/matrix/_callers.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CalledJob:
+class SubmittedJob:
     """One job and the outcomes of all attempts to submit it."""
 
     identifier: str
@@ -56,7 +56,7 @@
         self._seed = seed
         self._lock = threading.Lock()
         self._last_number = 0
-        self._jobs: list[CalledJob] = []
+        self._jobs: list[SubmittedJob] = []
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
 
@@ -70,7 +70,7 @@
         for thread in self._threads:
             thread.start()
 
-    def finish(self) -> list[CalledJob]:
+    def finish(self) -> list[SubmittedJob]:
         """Wait until all jobs have ended; return those since `start`."""
         self._stopping.set()
         for thread in self._threads:
@@ -78,14 +78,14 @@
         jobs, self._jobs = self._jobs, []
         return jobs
 
-    def submit_one(self, entry: str) -> CalledJob:
+    def submit_one(self, entry: str) -> SubmittedJob:
         """Submit one job, first to this entry, until it has ended."""
         with self._lock:
             self._last_number += 1
             number = self._last_number
         job = _draw_job(random.Random(f'{self._seed}/{number}'), number)
         identifier = f'{job.client}.{time.time_ns() // 1_000_000}.{number}'
-        submitted_job = CalledJob(identifier)
+        submitted_job = SubmittedJob(identifier)
         self._submit_until_ended(job, submitted_job, entry)
         with self._lock:
             self._jobs.append(submitted_job)
@@ -100,7 +100,7 @@
             time.sleep(_PAUSE_BETWEEN_JOBS_S)
 
     def _submit_until_ended(
-        self, job: TraceJob, submitted_job: CalledJob, entry: str
+        self, job: TraceJob, submitted_job: SubmittedJob, entry: str
     ) -> None:
         """Submit until the job ends otherwise than by a refusal.
 
--- a/tools/matrix/_checks.py
+++ b/tools/matrix/_checks.py
@@ -6,7 +6,7 @@
 
 from tools.bench._answers import End
 from tools.bench._reading import StandInCounts
-from tools.matrix._callers import CalledJob
+from tools.matrix._callers import SubmittedJob
 from tools.matrix._deployment import Deployment
 from tools.matrix._deployment import wait_until
 from tools.matrix._deployment import WaitTimeout
@@ -60,7 +60,9 @@
     )
 
 
-def check_jobs(jobs: list[CalledJob], counts: StandInCounts) -> Iterator[str]:
+def check_jobs(
+    jobs: list[SubmittedJob], counts: StandInCounts
+) -> Iterator[str]:
     """Yield problems with the ends and task starts of jobs."""
     counts.refresh()
     starts = counts.starts_by_task({job.identifier for job in jobs})
--- a/tools/matrix/_run.py
+++ b/tools/matrix/_run.py
@@ -11,8 +11,8 @@
 from tools.bench._answers import End
 from tools.bench._reading import StandInCounts
 from tools.launcher import LaunchError
-from tools.matrix._callers import CalledJob
 from tools.matrix._callers import Callers
+from tools.matrix._callers import SubmittedJob
 from tools.matrix._cells import Cell
 from tools.matrix._cells import reason_not_to_run
 from tools.matrix._cells import Result
@@ -96,7 +96,7 @@
         callers.start()
         problems = []
         affected = ''
-        jobs: list[CalledJob] = []
+        jobs: list[SubmittedJob] = []
         try:
             affected = Injection(deployment, step_driver, rng).run(cell)
             problems += step_driver.errors
--- a/tools/tests/test_matrix.py
+++ b/tools/tests/test_matrix.py
@@ -8,7 +8,7 @@
 from tools.bench._answers import Outcome
 from tools.bench._reading import StandInCounts
 from tools.bench._trace import TraceJob
-from tools.matrix._callers import CalledJob
+from tools.matrix._callers import SubmittedJob
 from tools.matrix._cells import Cell
 from tools.matrix._cells import cells_of
 from tools.matrix._cells import Fault
@@ -70,7 +70,7 @@
                 self.assertEqual(problems, len(found), found)
 
 
-def _called(ends: tuple[End, ...]) -> CalledJob:
+def _called(ends: tuple[End, ...]) -> SubmittedJob:
     job = TraceJob(1, 0.0, 'kurek', 'clubs', 5_000, ())
     attempts = [Outcome(job, 'job', end, 0.0, 0.0) for end in ends]
-    return CalledJob('job', attempts)
+    return SubmittedJob('job', attempts)
