--- a/tools/history/_faults.py
+++ b/tools/history/_faults.py
@@ -10,7 +10,7 @@
 
 _STOP_LIMIT_S: Final = 15.0
 # The processes of a lane fail one at a time. The lanes run concurrently, so
-# two faults may overlap, but never take down two control hosts.
+# two faults may overlap, but never take down two control hosts at once.
 LANES: Final = (
     ('entry-1', 'entry-2', 'agent-1'),
     ('control-1', 'control-2', 'control-3', 'agent-2', 'agent-3'),
--- a/tools/job_history/_cells.py
+++ b/tools/job_history/_cells.py
@@ -160,13 +160,13 @@
                 return _inject_disk_fault(target, DiskFault.SLOW)
 
 
-def _kill(targets: list[ControlProcess]) -> Callable[[], None]:
-    for target in targets:
-        target.kill()
+def _kill(processes: list[ControlProcess]) -> Callable[[], None]:
+    for process in processes:
+        process.kill()
 
     def start() -> None:
-        for target in targets:
-            target.start()
+        for process in processes:
+            process.start()
 
     return start
 
--- a/tools/job_history/_recorded_upstream.py
+++ b/tools/job_history/_recorded_upstream.py
@@ -85,14 +85,16 @@
         lease_until_ms: int,
         wait_ms: int,
     ) -> UpstreamReport | None:
-        report = super().poll(instance, fence, noted, lease_until_ms, wait_ms)
-        if report is not None:
+        upstream_report = super().poll(
+            instance, fence, noted, lease_until_ms, wait_ms
+        )
+        if upstream_report is not None:
             now = time.monotonic()
             with self._lock:
                 for record in self._ended_records:
                     if record.number <= noted:
                         record.noted_at = min(record.noted_at, now)
-        return report
+        return upstream_report
 
     def restart(self, born_ms: int) -> None:
         with self._lock:
