--- a/tools/tests/test_matrix.py
+++ b/tools/tests/test_matrix.py
@@ -8,7 +8,7 @@
 from tools.bench._answers import Outcome
 from tools.bench._counters import StandInCounts
 from tools.bench._trace import TraceJob
-from tools.matrix._callers import CalledJob
+from tools.matrix._callers import SubmittedJob
 from tools.matrix._cells import Cell
 from tools.matrix._cells import cells_of
 from tools.matrix._cells import Fault
@@ -71,11 +71,11 @@
             with self.subTest(name):
                 counts = Mock(StandInCounts)
                 counts.starts_by_task.return_value = Counter(starts)
-                found = list(check_jobs([_make_called_job(ends)], counts))
+                found = list(check_jobs([_make_submitted_job(ends)], counts))
                 self.assertEqual(problems, len(found), found)
 
 
-def _make_called_job(ends: tuple[End, ...]) -> CalledJob:
+def _make_submitted_job(ends: tuple[End, ...]) -> SubmittedJob:
     job = TraceJob(1, 0.0, 'kurek', 'clubs', 5_000, ())
     attempts = [Outcome(job, 'job', end, 0.0, 0.0) for end in ends]
-    return CalledJob('job', attempts)
+    return SubmittedJob('job', attempts)
