--- a/baobabgap/agent/_upstream.py
+++ b/baobabgap/agent/_lease_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the agent for its upstream."""
+"""HTTP client for the lease API of the upstream."""
 
 from collections import deque
 from collections.abc import Callable
@@ -30,8 +30,8 @@
 _REFUSED_STATUSES: Final = (400, 429)
 
 
-class UpstreamClient:
-    """Client for one incarnation of the upstream.
+class LeaseClient:
+    """Calls the lease API of one incarnation of the upstream.
 
     Each open request holds its own keep-alive connection, so there are
     about as many connections as slots.
--- a/baobabgap/agent/_monitor.py
+++ b/baobabgap/agent/_monitor.py
@@ -8,10 +8,10 @@
 from baobabgap._exceptions import BaobabgapError
 from baobabgap.agent._announcement import Announcement
 from baobabgap.agent._health import UpstreamHealth
+from baobabgap.agent._lease_client import LeaseClient
 from baobabgap.agent._runner import UpstreamRunner
 from baobabgap.agent._scheduler import TaskScheduler
 from baobabgap.agent._task_registry import TaskRecord
-from baobabgap.agent._upstream import UpstreamClient
 from baobabgap.agent._upstream_reports import RenewalReport
 from baobabgap.settings import AgentSettings
 from baobabgap.telemetry import log_event
@@ -66,7 +66,7 @@
             if known.address == announcement.address:
                 return
         is_new = known is None or known.incarnation != announcement.incarnation
-        self._runner.client = UpstreamClient(
+        self._runner.client = LeaseClient(
             announcement.address, announcement.incarnation, self.incarnation
         )
         if not is_new:
@@ -108,7 +108,7 @@
     def _check_timeout_s(self) -> float:
         return 2 * self._settings.upstream_check_s
 
-    def _adopt(self, client: UpstreamClient) -> bool:
+    def _adopt(self, client: LeaseClient) -> bool:
         """Take over the upstream's leases once it is bound to this agent."""
         sent_at = time.monotonic()
         try:
@@ -127,7 +127,7 @@
         log_event('agent:upstream_adopted', leases=len(listing.leases))
         return True
 
-    def _renew(self, client: UpstreamClient) -> None:
+    def _renew(self, client: LeaseClient) -> None:
         now = time.monotonic()
         records = self._scheduler.running_records()
         to_renew = [
@@ -170,7 +170,7 @@
 
     def _handle_renewal(
         self,
-        client: UpstreamClient,
+        client: LeaseClient,
         records: list[TaskRecord],
         report: RenewalReport,
     ) -> None:
@@ -198,7 +198,7 @@
 
     def _revoke(
         self,
-        client: UpstreamClient,
+        client: LeaseClient,
         leases: list[str],
         record_by_lease: dict[str, TaskRecord],
     ) -> None:
--- a/baobabgap/agent/_runner.py
+++ b/baobabgap/agent/_runner.py
@@ -8,10 +8,10 @@
 
 from baobabgap._exceptions import BaobabgapError
 from baobabgap.agent._health import UpstreamHealth
+from baobabgap.agent._lease_client import LeaseClient
 from baobabgap.agent._scheduler import TaskScheduler
 from baobabgap.agent._task_registry import TaskRecord
 from baobabgap.agent._task_registry import TaskState
-from baobabgap.agent._upstream import UpstreamClient
 from baobabgap.agent._upstream_reports import LeaseReport
 from baobabgap.agent._upstream_reports import LeaseRequest
 from baobabgap.agent._upstream_reports import StartRefused
@@ -45,7 +45,7 @@
         self._refresh_offer: Callable[[], None]
         self._stopping = threading.Event()
         # Client of the current upstream, once one has announced itself.
-        self.client: UpstreamClient | None = None
+        self.client: LeaseClient | None = None
         # Set when a task becomes detached.
         self.task_detached: Final = threading.Event()
 
@@ -80,7 +80,7 @@
             self._refresh_offer()
         self._scheduler.end(record, outcome, report.result, report.run_time_ms)
 
-    def _run(self, record: TaskRecord, client: UpstreamClient | None) -> None:
+    def _run(self, record: TaskRecord, client: LeaseClient | None) -> None:
         if client is None or record.placement is None:
             self._scheduler.end(record, TaskOutcome.NOT_STARTED, 'no upstream')
             return
