--- a/baobabgap/agent/_agent.py
+++ b/baobabgap/agent/_agent.py
@@ -9,6 +9,7 @@
 
 from baobabgap._exceptions import BaobabgapError
 from baobabgap._exceptions import ProtocolMismatch
+from baobabgap.agent._announced_upstream import AnnouncedUpstream
 from baobabgap.agent._announcement import Announcement
 from baobabgap.agent._application import AgentApplication
 from baobabgap.agent._batch_log import BatchLog
@@ -17,7 +18,6 @@
 from baobabgap.agent._monitor import UpstreamMonitor
 from baobabgap.agent._runner import UpstreamRunner
 from baobabgap.agent._scheduler import TaskScheduler
-from baobabgap.agent._upstream_state import UpstreamState
 from baobabgap.control import ControlClient
 from baobabgap.messages import AcknowledgeResults
 from baobabgap.messages import CancelJobs
@@ -97,7 +97,9 @@
             self.directory.apply,
             ('entry',),
         )
-        self._upstream = UpstreamState(health, self._monitor, self.directory)
+        self._upstream = AnnouncedUpstream(
+            health, self._monitor, self.directory
+        )
         self._application = AgentApplication(
             self._handle_announcement,
             lambda: self._scheduler.offer,
--- a/baobabgap/agent/_upstream_state.py
+++ b/baobabgap/agent/_announced_upstream.py
@@ -1,4 +1,4 @@
-"""The upstream's announced state and the offer derived from it."""
+"""The announced upstream and the offer derived from it."""
 
 import threading
 import time
@@ -17,7 +17,7 @@
 _KEPT_EARLIER_INCARNATIONS: Final = 1000
 
 
-class UpstreamState:
+class AnnouncedUpstream:
     """Combines announcement, health and slot limit into an offer."""
 
     def __init__(
