--- a/baobabgap/dispatch/tests/deployment.py
+++ b/baobabgap/dispatch/tests/deployment.py
@@ -144,18 +144,18 @@
             0, QUEUE_HOST, PREFIX + job_id, 'payload', steps, volatile
         )
         return self.pool.submit(
-            self.calls.ask, call, WAIT_S, patience_s, lambda: False
+            self.calls.forward, call, WAIT_S, patience_s, lambda: False
         )
 
     def read(self, job_id: str) -> CallAnswer:
         """Read a job's state, or the queue's length with an empty id."""
         call = ReadPath(0, QUEUE_HOST, PREFIX + job_id)
-        return self.calls.ask(call, WAIT_S, WAIT_S, lambda: False)
+        return self.calls.forward(call, WAIT_S, WAIT_S, lambda: False)
 
     def cancel(self, job_id: str) -> CallAnswer:
         """Cancel a job."""
         call = CancelPath(0, QUEUE_HOST, PREFIX + job_id)
-        return self.calls.ask(call, WAIT_S, WAIT_S, lambda: False)
+        return self.calls.forward(call, WAIT_S, WAIT_S, lambda: False)
 
     def _node(self, folder: Path, host: ControlHost) -> ControlNode:
         settings = Settings(
--- a/baobabgap/leaderlink/_calls.py
+++ b/baobabgap/leaderlink/_calls.py
@@ -115,7 +115,7 @@
         """The number of calls that wait for an answer."""
         return len(self._pending_by_call)
 
-    def ask(
+    def forward(
         self,
         call: Call,
         wait_for_leader_s: float,
@@ -144,7 +144,7 @@
                     patience_ms=int(1000 * wait_for_answer_s),
                     is_repeat=may_have_begun,
                 )
-            answer = self._ask_once(call, answer_by, caller_has_left)
+            answer = self._forward_once(call, answer_by, caller_has_left)
             if may_have_begun and answer.outcome in _NOT_BEGUN:
                 # The outcome holds for this try only.
                 answer = replace(answer, outcome=CallOutcome.UNKNOWN)
@@ -163,7 +163,7 @@
                 else _NO_LEADER_RETRY_INTERVAL_S
             )
 
-    def _ask_once(
+    def _forward_once(
         self,
         call: Call,
         answer_by: float,
--- a/baobabgap/leaderlink/tests/test_calls.py
+++ b/baobabgap/leaderlink/tests/test_calls.py
@@ -67,7 +67,7 @@
         )
         return link
 
-    def ask(
+    def forward(
         self,
         call: SubmitJob | ReadPath,
         *,
@@ -76,11 +76,15 @@
         caller_has_left: bool = False,
     ) -> Future[CallAnswer]:
         return self.pool.submit(
-            self.calls.ask, call, leader_s, answer_s, lambda: caller_has_left
+            self.calls.forward,
+            call,
+            leader_s,
+            answer_s,
+            lambda: caller_has_left,
         )
 
     def test_call_without_a_leader_is_unavailable(self) -> None:
-        answer = self.ask(VOLATILE).result(WAIT_S)
+        answer = self.forward(VOLATILE).result(WAIT_S)
         self.assertIs(CallOutcome.UNAVAILABLE, answer.outcome)
 
     def test_sent_job_is_never_reported_as_not_run(self) -> None:
@@ -90,7 +94,7 @@
         """
         link = self.link()
         self.assertIsInstance(link.next_sent(), EntryReport)
-        future = self.ask(VOLATILE)
+        future = self.forward(VOLATILE)
         self.assertIsInstance(link.next_sent(), SubmitJob)
         link.cut()
         self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
@@ -98,7 +102,7 @@
     def test_refusal_by_the_next_leader_is_not_passed_on(self) -> None:
         link = self.link()
         link.next_sent()
-        future = self.ask(VOLATILE, leader_s=1.0)
+        future = self.forward(VOLATILE, leader_s=1.0)
         link.next_sent()
         link.cut()
         second = self.link()
@@ -113,7 +117,7 @@
     def test_next_leader_is_told_which_jobs_may_have_begun(self) -> None:
         link = self.link()
         self.assertEqual(EntryReport(()), link.next_sent())
-        self.ask(VOLATILE, leader_s=2.0)
+        self.forward(VOLATILE, leader_s=2.0)
         link.next_sent()
         link.cut()
         second = self.link()
@@ -124,7 +128,7 @@
     def test_stored_job_is_not_sent_twice(self) -> None:
         link = self.link()
         link.next_sent()
-        future = self.ask(STORED, leader_s=1.0)
+        future = self.forward(STORED, leader_s=1.0)
         link.next_sent()
         link.cut()
         self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
@@ -132,7 +136,7 @@
     def test_job_is_dropped_when_its_caller_has_left(self) -> None:
         link = self.link()
         link.next_sent()
-        future = self.ask(VOLATILE, caller_has_left=True)
+        future = self.forward(VOLATILE, caller_has_left=True)
         call = link.next_sent().call
         self.assertEqual(DropCall(call), link.next_sent())
         self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
@@ -140,7 +144,7 @@
     def test_planned_stop_answers_at_once_and_drops_nothing(self) -> None:
         link = self.link()
         link.next_sent()
-        future = self.ask(VOLATILE)
+        future = self.forward(VOLATILE)
         link.next_sent()
         began_at = time.monotonic()
         self.calls.give_up()
--- a/tools/job_history/_callers.py
+++ b/tools/job_history/_callers.py
@@ -123,7 +123,7 @@
             case CancelPath():
                 self._moments.reach(Moment.CANCEL)
         asked_at = time.monotonic()
-        answer: CallAnswer = entry.ask(
+        answer: CallAnswer = entry.forward(
             call, _ANSWER_S, _ANSWER_S, lambda: False
         )
         self._history.add(
