--- a/baobabgap/control/_client.py
+++ b/baobabgap/control/_client.py
@@ -162,7 +162,7 @@
         self._send_pending()
         return future
 
-    def lookup(self, claim: Claim) -> Future[ClaimOutcome]:
+    def look_up(self, claim: Claim) -> Future[ClaimOutcome]:
         """Ask for the outcome that a claim would have now."""
         future = self._pending.add_claim(
             claim, self._settings.control.claim_wait_s, lookup_only=True
--- a/baobabgap/control/tests/test_client.py
+++ b/baobabgap/control/tests/test_client.py
@@ -154,7 +154,7 @@
 
     def test_lookup_never_changes_anything(self) -> None:
         self.start()
-        error: Any = self.client.lookup(claim('kurek.5.n')).exception(
+        error: Any = self.client.look_up(claim('kurek.5.n')).exception(
             WAIT_LIMIT_S
         )
         self.assertIs(error.unchanged, True)
--- a/baobabgap/control/tests/test_single_host.py
+++ b/baobabgap/control/tests/test_single_host.py
@@ -18,7 +18,7 @@
         owned = second.client.claim(claim(job)).result(WAIT_LIMIT_S)
         self.assertIs(owned.status, ClaimStatus.OWNED)
         self.assertEqual(owned.owner, 'entry-1')
-        looked = second.client.lookup(claim(job, b'')).result(WAIT_LIMIT_S)
+        looked = second.client.look_up(claim(job, b'')).result(WAIT_LIMIT_S)
         self.assertIs(looked.status, ClaimStatus.OWNED)
 
     def test_released_job_is_unclaimed_again(self) -> None:
@@ -29,7 +29,7 @@
         first.client.release([job])
 
         def is_unclaimed() -> bool:
-            found = second.client.lookup(claim(job)).result(WAIT_LIMIT_S)
+            found = second.client.look_up(claim(job)).result(WAIT_LIMIT_S)
             return found.status is ClaimStatus.UNCLAIMED
 
         self.wait_until(is_unclaimed, 'the release is applied')
--- a/baobabgap/entry/_submissions.py
+++ b/baobabgap/entry/_submissions.py
@@ -51,7 +51,7 @@
     def claim(self, claim: Claim) -> Future[ClaimOutcome]:
         """Claim a job."""
 
-    def lookup(self, claim: Claim) -> Future[ClaimOutcome]:
+    def look_up(self, claim: Claim) -> Future[ClaimOutcome]:
         """Query which entry owns a job."""
 
     def release(self, jobs: list[str]) -> None:
@@ -295,7 +295,7 @@
                     self._cancel_at_owner(done.result())
                 _forward(self._answer_unowned(done.result()), future)
 
-        self._control.lookup(claim).add_done_callback(settle)
+        self._control.look_up(claim).add_done_callback(settle)
         return future
 
     def _answer_unowned(self, outcome: ClaimOutcome) -> Future[JobAnswer]:
--- a/baobabgap/entry/tests/fakes.py
+++ b/baobabgap/entry/tests/fakes.py
@@ -76,7 +76,7 @@
         self.claims.append((claim, future))
         return future
 
-    def lookup(self, claim: Claim) -> Future[ClaimOutcome]:
+    def look_up(self, claim: Claim) -> Future[ClaimOutcome]:
         """Record a lookup."""
         future: Future[ClaimOutcome] = Future()
         self.lookups.append((claim, future))
--- a/tools/control_history.py
+++ b/tools/control_history.py
@@ -216,7 +216,9 @@
         tool = self._start_client('tool', 'tool-9')
         page = self._retry(partial(tool.query, 'tickets'))
         lookups = {
-            event.job: self._retry(partial(tool.lookup, Claim(event.job, b'')))
+            event.job: self._retry(
+                partial(tool.look_up, Claim(event.job, b''))
+            )
             for event in self._claims
         }
         return FinalState(
--- a/tools/tests/test_frozen_leader.py
+++ b/tools/tests/test_frozen_leader.py
@@ -97,6 +97,6 @@
         self.assertIs(rejected.status, TicketStatus.LOST)
         self.assertEqual(rejected.winner, accepted_state)
         for claim in (before, during):
-            outcome = tool.lookup(claim).result(_WAIT_LIMIT_S)
+            outcome = tool.look_up(claim).result(_WAIT_LIMIT_S)
             self.assertIs(outcome.status, ClaimStatus.OWNED)
             self.assertEqual(outcome.owner, 'entry-1')
