--- a/baobabgap/control/_client.py
+++ b/baobabgap/control/_client.py
@@ -208,7 +208,7 @@
     def _send_pending(self) -> None:
         connection = self._connection
         if connection is not None and not connection.is_closed:
-            connection.send(*self._pending.take_messages())
+            connection.send(*self._pending.pop_messages())
 
     def _maintenance_loop(self) -> None:
         while not self._stopping.wait(_MAINTENANCE_INTERVAL_S):
--- a/baobabgap/control/_pending_requests.py
+++ b/baobabgap/control/_pending_requests.py
@@ -94,13 +94,13 @@
         with self._lock:
             return self._allocate_number()
 
-    def take_messages(self) -> list[object]:
+    def pop_messages(self) -> list[object]:
         """Return the messages to send now; call again after each answer."""
         messages: list[object] = []
         now = time.monotonic()
         with self._lock:
             while len(self._batch_by_request) < _MAX_REQUESTS_IN_FLIGHT:
-                items = self._take_batch(now)
+                items = self._pop_batch(now)
                 if not items:
                     break
                 request = self._allocate_number()
@@ -190,7 +190,7 @@
         self._next_number += 1
         return number
 
-    def _take_batch(self, now: float) -> list[_PendingRequest]:
+    def _pop_batch(self, now: float) -> list[_PendingRequest]:
         """Dequeue the requests that go into the next message."""
         first = next(
             (item for item in self._waiting if item.not_before <= now), None
--- a/baobabgap/control/tests/test_client.py
+++ b/baobabgap/control/tests/test_client.py
@@ -224,17 +224,17 @@
     def test_outcome_of_a_request_in_flight_is_unknown(self) -> None:
         pending = PendingRequests(ClaimSender('e', 'e-a', ''))
         future = pending.add_claim(claim('kurek.5.n'), 0.1, lookup_only=False)
-        self.assertEqual(len(pending.take_messages()), 1)
+        self.assertEqual(len(pending.pop_messages()), 1)
         self.assertIs(self.expire(pending, future).unchanged, False)
 
     def attempt(
         self, pending: PendingRequests, unchanged: bool | None
     ) -> None:
         """Send the request and refuse it or, for None, lose the link."""
-        messages = pending.take_messages()
+        messages = pending.pop_messages()
         while not messages:
             time.sleep(0.01)
-            messages = pending.take_messages()
+            messages = pending.pop_messages()
         if unchanged is None:
             pending.link_lost()
             return
--- a/baobabgap/dispatch/_call_handler.py
+++ b/baobabgap/dispatch/_call_handler.py
@@ -273,7 +273,7 @@
         """Accept a volatile job with its runs of an earlier leader, if any."""
         job_id = plan.job.job_id
         self._term_state.callers_by_id[job_id] = [arrived]
-        orphans = self._term_state.orphans.take(job_id)
+        orphans = self._term_state.orphans.pop(job_id)
         for task_id in orphans.done:
             plan.note_done(task_id)
         self._activate(plan)
--- a/baobabgap/dispatch/_orphans.py
+++ b/baobabgap/dispatch/_orphans.py
@@ -48,7 +48,7 @@
         """Return whether anything is kept for a job."""
         return job_id in self._by_id
 
-    def take(self, job_id: str) -> JobOrphans:
+    def pop(self, job_id: str) -> JobOrphans:
         """Remove and return what is kept for a job."""
         return self._by_id.pop(job_id, JobOrphans())
 
--- a/baobabgap/dispatch/tests/test_takeover.py
+++ b/baobabgap/dispatch/tests/test_takeover.py
@@ -91,10 +91,10 @@
         orphans.add_run('agent', row, 0.0)
         orphans.add_end(EndRow(1, other, 1, RunEnd.DONE), 0.0)
         orphans.add_end(EndRow(2, task, 1, RunEnd.FAILED), 0.0)
-        taken = orphans.take('a')
+        taken = orphans.pop('a')
         self.assertEqual([('agent', row)], taken.runs)
         self.assertEqual([other], taken.done)
-        self.assertEqual([], orphans.take('a').runs)
+        self.assertEqual([], orphans.pop('a').runs)
 
     def test_run_reported_before_its_job_is_not_stopped(self) -> None:
         """Regression: a report that preceded its job stopped the runs."""
--- a/baobabgap/entry/_deadlines.py
+++ b/baobabgap/entry/_deadlines.py
@@ -24,7 +24,7 @@
         """Schedule the first check of a job."""
         self._push(_latest_start_at(job), job)
 
-    def take_due(self, now: float) -> list[ActiveJob]:
+    def pop_due(self, now: float) -> list[ActiveJob]:
         """Remove and return the jobs that have expired."""
         due = []
         while self._heap and self._heap[0][0] <= now:
--- a/baobabgap/entry/_dispatcher.py
+++ b/baobabgap/entry/_dispatcher.py
@@ -369,7 +369,7 @@
         Returns the monotonic time of the next check.
         """
         with self.lock:
-            for job in self._deadlines.take_due(now):
+            for job in self._deadlines.pop_due(now):
                 self.fail(
                     job, deadline_exceeded(job, self._expected_completion_s())
                 )
@@ -385,7 +385,7 @@
         limit_s = self._settings.agent_return_s
         reason = f'no link to its agent for {limit_s} s'
         with self.lock:
-            for agent, job, task in self._outstanding.take_lost(now - limit_s):
+            for agent, job, task in self._outstanding.pop_lost(now - limit_s):
                 identifier = task.submission.identifier
                 self.fail(job, task_lost(job, identifier, agent, reason))
 
--- a/baobabgap/entry/_outstanding.py
+++ b/baobabgap/entry/_outstanding.py
@@ -52,7 +52,7 @@
             keys.append(key)
         return keys_by_incarnation
 
-    def take_lost(
+    def pop_lost(
         self, lost_before: float
     ) -> Iterator[tuple[str, ActiveJob, PendingTask]]:
         """Remove and yield the tasks of agents lost before a time."""
--- a/baobabgap/entry/tests/fakes.py
+++ b/baobabgap/entry/tests/fakes.py
@@ -49,7 +49,7 @@
         """Record messages."""
         self.sent.extend(messages)
 
-    def take(self, message_class: type[_Message]) -> list[_Message]:
+    def pop_sent(self, message_class: type[_Message]) -> list[_Message]:
         """Return the recorded messages of one class, and clear all."""
         found = [item for item in self.sent if isinstance(item, message_class)]
         self.sent.clear()
--- a/baobabgap/entry/tests/test_dispatcher.py
+++ b/baobabgap/entry/tests/test_dispatcher.py
@@ -26,7 +26,7 @@
         agents = [entry.add_agent('a', 2), entry.add_agent('b', 2)]
         future = entry.submit(job(tasks=4))
         for agent in agents:
-            for placed in agent.take(PlaceTasks):
+            for placed in agent.pop_sent(PlaceTasks):
                 entry.finish(agent, placed)
         answer = future.result(1)
         self.assertTrue(answer.has_all_values)
@@ -40,7 +40,7 @@
         agent = entry.add_agent('a', 8)
         entry.submit(job(tasks=5))
         self.assertEqual(
-            [5], [len(placed.tasks) for placed in agent.take(PlaceTasks)]
+            [5], [len(placed.tasks) for placed in agent.pop_sent(PlaceTasks)]
         )
 
     def test_no_placement_without_token(self) -> None:
@@ -48,28 +48,29 @@
         agent = entry.add_agent('a', 2)
         entry.submit(job(1, tasks=2))
         entry.submit(job(2, tasks=1))
-        first = agent.take(PlaceTasks)
+        first = agent.pop_sent(PlaceTasks)
         self.assertEqual(['kurek.1.a'], [placed.job for placed in first])
         entry.finish(agent, first[0])
         self.assertEqual(
-            ['kurek.2.a'], [placed.job for placed in agent.take(PlaceTasks)]
+            ['kurek.2.a'],
+            [placed.job for placed in agent.pop_sent(PlaceTasks)],
         )
 
     def test_nothing_is_placed_before_the_claim_is_granted(self) -> None:
         entry = FakeEntry()
         agent = entry.add_agent('a', 2)
         entry.submissions.submit(job(), '')
-        self.assertEqual([], agent.take(PlaceTasks))
+        self.assertEqual([], agent.pop_sent(PlaceTasks))
         entry.control.settle_claim()
-        self.assertEqual(1, len(agent.take(PlaceTasks)))
+        self.assertEqual(1, len(agent.pop_sent(PlaceTasks)))
 
     def test_agents_in_the_same_zone_first(self) -> None:
         entry = FakeEntry()
         far = entry.add_agent('far', 8, zone='other')
         near = entry.add_agent('near', 2)
         entry.submit(job(tasks=3))
-        self.assertEqual(2, len(near.take(PlaceTasks)[0].tasks))
-        self.assertEqual(1, len(far.take(PlaceTasks)[0].tasks))
+        self.assertEqual(2, len(near.pop_sent(PlaceTasks)[0].tasks))
+        self.assertEqual(1, len(far.pop_sent(PlaceTasks)[0].tasks))
 
     def test_short_jobs_overtake_long_ones(self) -> None:
         entry = FakeEntry()
@@ -77,8 +78,8 @@
         entry.submit(job(1))
         entry.submit(job(2, run_time_ms=4000))
         entry.submit(job(3, run_time_ms=50))
-        entry.finish(agent, agent.take(PlaceTasks)[0])
-        self.assertEqual('kurek.3.a', agent.take(PlaceTasks)[0].job)
+        entry.finish(agent, agent.pop_sent(PlaceTasks)[0])
+        self.assertEqual('kurek.3.a', agent.pop_sent(PlaceTasks)[0].job)
 
 
 class TestTaskFailures(unittest.TestCase):
@@ -92,11 +93,11 @@
         entry = FakeEntry()
         agent = entry.add_agent('a', 1)
         future = entry.submit(job())
-        placed = agent.take(PlaceTasks)[0]
+        placed = agent.pop_sent(PlaceTasks)[0]
         entry.finish(agent, placed, TaskOutcome.NOT_STARTED)
         kinds = [type(message) for message in agent.sent]
         self.assertEqual([AcknowledgeResults, PlaceTasks], kinds)
-        repeated = agent.take(PlaceTasks)[0]
+        repeated = agent.pop_sent(PlaceTasks)[0]
         entry.finish(agent, repeated)
         self.assertTrue(future.result(1).has_all_values)
 
@@ -110,29 +111,29 @@
                 entry = FakeEntry()
                 agent = entry.add_agent('a', 1)
                 future = entry.submit(job())
-                entry.finish(agent, agent.take(PlaceTasks)[0], outcome)
+                entry.finish(agent, agent.pop_sent(PlaceTasks)[0], outcome)
                 failure = future.result(1).failure
                 assert failure is not None
                 self.assertEqual((code, ran), (failure.code, failure.ran))
-                self.assertEqual([], agent.take(PlaceTasks))
+                self.assertEqual([], agent.pop_sent(PlaceTasks))
 
     def test_failure_cancels_the_rest(self) -> None:
         entry = FakeEntry()
         one = entry.add_agent('a', 1)
         two = entry.add_agent('b', 1)
         future = entry.submit(job(tasks=3))
-        placed = one.take(PlaceTasks)[0]
-        two.take(PlaceTasks)
+        placed = one.pop_sent(PlaceTasks)[0]
+        two.pop_sent(PlaceTasks)
         entry.finish(one, placed, TaskOutcome.FAILED)
         self.assertFalse(future.result(1).has_all_values)
         self.assertEqual([('kurek.1.a',)], _cancelled(two))
-        self.assertEqual([], one.take(PlaceTasks))
+        self.assertEqual([], one.pop_sent(PlaceTasks))
 
     def test_late_result_is_counted_and_changes_nothing(self) -> None:
         entry = FakeEntry()
         agent = entry.add_agent('a', 1)
         entry.submit(job())
-        placed = agent.take(PlaceTasks)[0]
+        placed = agent.pop_sent(PlaceTasks)[0]
         entry.finish(agent, placed)
         entry.dispatcher.pool.set_grant('a', 2, 1)
         entry.finish(agent, placed)
@@ -145,13 +146,13 @@
         entry = FakeEntry()
         agent = entry.add_agent('a', 1)
         entry.submit(job())
-        placed = agent.take(PlaceTasks)[0]
+        placed = agent.pop_sent(PlaceTasks)[0]
         entry.submissions.cancel('kurek.1.a')
         entry.finish(agent, placed, TaskOutcome.FAILED)
         wasted = 'baobabgap_wasted_messages_total{kind="late_result"}'
         self.assertEqual(0, entry.metrics.value(wasted))
         entry.submit(job(2))
-        self.assertEqual(1, len(agent.take(PlaceTasks)))
+        self.assertEqual(1, len(agent.pop_sent(PlaceTasks)))
 
     def test_reconnected_agent_is_asked_for_its_tasks(self) -> None:
         entry = FakeEntry()
@@ -159,7 +160,7 @@
         future = entry.submit(job())
         entry.dispatcher.agent_down(agent.connection)
         reconnected = entry.add_agent('a', 1, tokens=0, incarnation='i2')
-        asked = reconnected.take(ResumeTasks)
+        asked = reconnected.pop_sent(ResumeTasks)
         self.assertEqual([(('kurek.1.a', 't0'),)], [m.tasks for m in asked])
         self.assertFalse(future.done())
 
@@ -181,7 +182,7 @@
         agent = entry.add_agent('a', 1)
         started = entry.submit(job(1, deadline_ms=1000))
         waiting = entry.submit(job(2, deadline_ms=1000))
-        agent.take(PlaceTasks)
+        agent.pop_sent(PlaceTasks)
         entry.dispatcher.expire(time.monotonic() + 2)
         cases = {
             'started': (started, Ran.UNKNOWN, False),
@@ -209,7 +210,7 @@
         entry.dispatcher.handle_peer_state(
             peer.connection, EntryState(3, 10.0, 0, 300.0)
         )
-        given = sum(item.tokens for item in peer.take(TokenTransfer))
+        given = sum(item.tokens for item in peer.pop_sent(TokenTransfer))
         self.assertEqual(3, given)
 
     def test_freed_token_goes_to_the_more_urgent_peer(self) -> None:
@@ -218,13 +219,13 @@
         peer = entry.add_peer('entry-2')
         entry.submit(job(1))
         entry.submit(job(2))
-        placed = agent.take(PlaceTasks)[0]
+        placed = agent.pop_sent(PlaceTasks)[0]
         entry.dispatcher.handle_peer_state(
             peer.connection, EntryState(1, -5000.0, 0, 300.0)
         )
         entry.finish(agent, placed)
-        self.assertEqual(1, len(peer.take(TokenTransfer)))
-        self.assertEqual([], agent.take(PlaceTasks))
+        self.assertEqual(1, len(peer.pop_sent(TokenTransfer)))
+        self.assertEqual([], agent.pop_sent(PlaceTasks))
 
     def test_void_transfer_is_dropped(self) -> None:
         entry = FakeEntry()
@@ -238,9 +239,9 @@
         for name, transfer in cases.items():
             with self.subTest(name):
                 entry.dispatcher.handle_transfer(transfer)
-                self.assertEqual([], agent.take(PlaceTasks))
+                self.assertEqual([], agent.pop_sent(PlaceTasks))
         entry.dispatcher.handle_transfer(TokenTransfer('a', 'i1', 1, 1))
-        self.assertEqual(1, len(agent.take(PlaceTasks)))
+        self.assertEqual(1, len(agent.pop_sent(PlaceTasks)))
 
 
 class TestSlowUpstream(unittest.TestCase):
@@ -258,17 +259,17 @@
         now = time.monotonic()
         entry.dispatcher.check_upstreams(now + 1.0)
         fresh = entry.add_agent('fresh', 2)
-        entry.finish(slow, slow.take(PlaceTasks)[0])
+        entry.finish(slow, slow.pop_sent(PlaceTasks)[0])
         entry.submit(job(2, tasks=2))
-        self.assertEqual([], slow.take(PlaceTasks))
-        self.assertEqual(1, len(fresh.take(PlaceTasks)))
+        self.assertEqual([], slow.pop_sent(PlaceTasks))
+        self.assertEqual(1, len(fresh.pop_sent(PlaceTasks)))
         entry.submit(job(3))
         entry.dispatcher.check_upstreams(now + 7.0)
-        probes = slow.take(PlaceTasks)
+        probes = slow.pop_sent(PlaceTasks)
         self.assertEqual(1, len(probes))
         entry.finish(slow, probes[0])
         entry.submit(job(4))
-        self.assertEqual(1, len(slow.take(PlaceTasks)))
+        self.assertEqual(1, len(slow.pop_sent(PlaceTasks)))
 
     def test_jobs_are_admitted_if_all_upstreams_are_suspended(self) -> None:
         entry = FakeEntry()
@@ -278,11 +279,11 @@
         entry.submit(job(1, tasks=2))
         now = time.monotonic()
         entry.dispatcher.check_upstreams(now + 1.0)
-        entry.finish(slow, slow.take(PlaceTasks)[0])
+        entry.finish(slow, slow.pop_sent(PlaceTasks)[0])
         future = entry.submit(job(2))
         self.assertFalse(future.done())
         entry.dispatcher.check_upstreams(now + 7.0)
-        entry.finish(slow, slow.take(PlaceTasks)[0])
+        entry.finish(slow, slow.pop_sent(PlaceTasks)[0])
         self.assertTrue(future.result(1).has_all_values)
 
     def test_at_most_a_third_of_the_upstreams_is_suspended(self) -> None:
@@ -304,7 +305,7 @@
         entry.submit(job(1, tasks=2))
         entry.dispatcher.check_upstreams(time.monotonic() + 0.3)
         entry.submit(job(2))
-        self.assertEqual(2, len(agent.take(PlaceTasks)))
+        self.assertEqual(2, len(agent.pop_sent(PlaceTasks)))
 
     def test_queueing_at_the_agent_suspends_nothing(self) -> None:
         policy = {
@@ -335,10 +336,10 @@
                 entry = FakeEntry(configuration)
                 agent = entry.add_agent('a', 1, tokens=0)
                 entry.submit(job(tasks=3))
-                placed = agent.take(PlaceTasks)
+                placed = agent.pop_sent(PlaceTasks)
                 self.assertEqual(3, sum(len(item.tasks) for item in placed))
                 self.assertEqual({0}, {item.epoch for item in placed})
 
 
 def _cancelled(link: FakeLink) -> list[tuple[str, ...]]:
-    return [message.jobs for message in link.take(CancelJobs)]
+    return [message.jobs for message in link.pop_sent(CancelJobs)]
--- a/baobabgap/entry/tests/test_submissions.py
+++ b/baobabgap/entry/tests/test_submissions.py
@@ -32,11 +32,11 @@
         agent = entry.add_agent('a', 4)
         first = entry.submit(job())
         second = entry.submit(job(deadline_ms=700))
-        entry.finish(agent, agent.take(PlaceTasks)[0])
+        entry.finish(agent, agent.pop_sent(PlaceTasks)[0])
         third = entry.submit(job())
         self.assertEqual(first.result(1), second.result(1))
         self.assertEqual(first.result(1), third.result(1))
-        self.assertEqual([], agent.take(PlaceTasks))
+        self.assertEqual([], agent.pop_sent(PlaceTasks))
 
     def test_claim_is_waited_for(self) -> None:
         entry = FakeEntry()
@@ -73,7 +73,7 @@
         agent = entry.add_agent('a', 4)
         entry.submit(job())
         running = entry.submit(job(tasks=2))
-        entry.finish(agent, agent.take(PlaceTasks)[0])
+        entry.finish(agent, agent.pop_sent(PlaceTasks)[0])
         ended = entry.submit(job(tasks=2))
         for future in (running, ended):
             failure = future.result(1).failure
@@ -85,10 +85,10 @@
         agent = entry.add_agent('a', 4)
         for number in range(1, 7):
             entry.submit(job(number))
-            entry.finish(agent, agent.take(PlaceTasks)[0])
+            entry.finish(agent, agent.pop_sent(PlaceTasks)[0])
         future = entry.submissions.submit(job(1), '')
         entry.control.settle_claim(ClaimStatus.OWNED)
-        self.assertEqual([], agent.take(PlaceTasks))
+        self.assertEqual([], agent.pop_sent(PlaceTasks))
         entry.joins.give_up(time.monotonic() + 60)
         failure = future.result(1).failure
         assert failure is not None
@@ -102,8 +102,8 @@
         peer = entry.add_peer('entry-2')
         future = entry.submissions.submit(job(), '')
         entry.control.settle_claim(ClaimStatus.OWNED, 'entry-2')
-        request = peer.take(JoinJob)[0].request
-        self.assertEqual([], agent.take(PlaceTasks))
+        request = peer.pop_sent(JoinJob)[0].request
+        self.assertEqual([], agent.pop_sent(PlaceTasks))
         answer = JobAnswer('kurek.1.a')
         entry.joins.answer(JoinedAnswer(request, answer))
         self.assertEqual(answer, future.result(1))
@@ -233,7 +233,7 @@
         peer = entry.add_peer('entry-2')
         future = entry.submissions.submit(job(), '')
         entry.control.settle_lookup(ClaimStatus.OWNED, 'entry-2')
-        self.assertEqual(1, len(peer.take(JoinJob)))
+        self.assertEqual(1, len(peer.pop_sent(JoinJob)))
         self.assertFalse(future.done())
 
     def test_without_control_the_outcome_is_unknown(self) -> None:
@@ -253,7 +253,7 @@
             (failure.code, failure.ran),
         )
         self.assertEqual(['kurek.1.a'], entry.control.released)
-        self.assertEqual([], agent.take(PlaceTasks))
+        self.assertEqual([], agent.pop_sent(PlaceTasks))
 
     def test_superseded_process_refuses(self) -> None:
         entry = FakeEntry()
@@ -275,7 +275,7 @@
         failure = refused.result(1).failure
         assert failure is not None
         self.assertEqual(FailureCode.DRAINING, failure.code)
-        entry.finish(agent, agent.take(PlaceTasks)[0])
+        entry.finish(agent, agent.pop_sent(PlaceTasks)[0])
         self.assertTrue(running.result(1).has_all_values)
 
 
@@ -296,7 +296,7 @@
         self.assertEqual(
             (FailureCode.CANCELLED, Ran.NO), (failure.code, failure.ran)
         )
-        self.assertEqual([], agent.take(PlaceTasks))
+        self.assertEqual([], agent.pop_sent(PlaceTasks))
         self.assertEqual(['kurek.1.a'], entry.control.released)
 
     def test_cancel_before_another_entry_is_known_to_own_it(self) -> None:
@@ -309,7 +309,7 @@
         entry.control.settle_lookup(ClaimStatus.OWNED, 'entry-2')
         self.assertIn(CancelOwnedJob('kurek.1.a'), peer.sent)
         answer = JobAnswer('kurek.1.a')
-        for join in peer.take(JoinJob):
+        for join in peer.pop_sent(JoinJob):
             entry.joins.answer(JoinedAnswer(join.request, answer))
         self.assertEqual([answer] * 2, [future.result(1), cancel.result(1)])
 
--- a/baobabgap/leaderlink/_calls.py
+++ b/baobabgap/leaderlink/_calls.py
@@ -107,7 +107,7 @@
         self._has_given_up = True
         with self._lock:
             self._connection = None
-            pending = self._take_pending(None)
+            pending = self._pop_pending(None)
         _resolve_unknown(pending, 'this entry stops')
 
     @property
@@ -230,10 +230,10 @@
             if self._connection is connection:
                 self._connection = None
                 self._unlinked_at = time.monotonic()
-            pending = self._take_pending(connection)
+            pending = self._pop_pending(connection)
         _resolve_unknown(pending, 'leader link lost')
 
-    def _take_pending(
+    def _pop_pending(
         self, connection: Connection | None
     ) -> dict[int, Future[CallAnswer]]:
         """Remove and return the calls of one link, or all if None.
--- a/baobabgap/transport/_connection.py
+++ b/baobabgap/transport/_connection.py
@@ -163,7 +163,7 @@
 
     def _send_loop(self) -> None:
         while not self._closed.is_set():
-            batch, flushed = self._take_batch()
+            batch, flushed = self._pop_batch()
             try:
                 if batch:
                     self._send_frame(batch)
@@ -172,7 +172,7 @@
             for event in flushed:
                 event.set()
 
-    def _take_batch(self) -> tuple[list[object], list[threading.Event]]:
+    def _pop_batch(self) -> tuple[list[object], list[threading.Event]]:
         batch: list[object] = []
         flushed: list[threading.Event] = []
         try:
