--- a/baobabgap/agent/tests/test_agent.py
+++ b/baobabgap/agent/tests/test_agent.py
@@ -64,7 +64,7 @@
         The upstream starts repeated leases again here, so that only the
         agent prevents a second start.
         """
-        self.deployment.upstream.behave(Behaviour(forgetful=True))
+        self.deployment.upstream.set_behaviour(Behaviour(forgetful=True))
         message = self.entry.place('a.1.x', {'t1': {'sleep_ms': 400}})
         self.wait_for_starts(1)
         grants = len(self.entry.grants)
@@ -137,25 +137,27 @@
     def test_frozen_upstream_loses_tasks_and_gets_no_new_ones(self) -> None:
         self.entry.place('a.1.x', {'t1': {'sleep_ms': 300}})
         self.wait_for_starts(1)
-        self.deployment.upstream.behave(Behaviour(frozen=True))
+        self.deployment.upstream.set_behaviour(Behaviour(frozen=True))
         self.entry.wait_until_accepting(False)
         self.entry.place('a.2.x', {'t2': {}})
         self.assertEqual(
             {'t1': TaskOutcome.LOST, 't2': TaskOutcome.NOT_STARTED},
             self.outcomes(2),
         )
-        self.deployment.upstream.behave(Behaviour())
+        self.deployment.upstream.set_behaviour(Behaviour())
         self.entry.wait_until_accepting()
         self.assert_started_once('t1')
 
     def test_an_upstream_that_fails_every_task_is_ejected(self) -> None:
-        self.deployment.upstream.behave(Behaviour(fails_every_task=True))
+        self.deployment.upstream.set_behaviour(
+            Behaviour(fails_every_task=True)
+        )
         for number in range(5):
             self.entry.place(f'a.{number}.x', {f't{number}': {}})
             self.entry.wait_for_results(number + 1)
         self.assertEqual({TaskOutcome.FAILED}, set(self.outcomes(5).values()))
         self.entry.wait_until_accepting(False)
-        self.deployment.upstream.behave(Behaviour())
+        self.deployment.upstream.set_behaviour(Behaviour())
         self.entry.wait_until_accepting()
         self.assertEqual(1, self.entry.offers[-1].slots)
         self.entry.place('a.9.x', {'t9': {'sleep_ms': 1}})
@@ -164,14 +166,14 @@
     def test_vanished_upstream_loses_tasks_and_gets_no_new_ones(self) -> None:
         self.entry.place('a.1.x', {'t1': {'sleep_ms': 600_000}})
         self.wait_for_starts(1)
-        self.deployment.upstream.behave(Behaviour(vanished=True))
+        self.deployment.upstream.set_behaviour(Behaviour(vanished=True))
         self.entry.wait_until_accepting(False)
         self.assertEqual({'t1': TaskOutcome.LOST}, self.outcomes(1))
 
     def test_a_restarted_upstream_loses_its_tasks(self) -> None:
         self.entry.place('a.1.x', {'t1': {'sleep_ms': 600_000}})
         self.wait_for_starts(1)
-        self.deployment.upstream.behave(Behaviour(vanished=True))
+        self.deployment.upstream.set_behaviour(Behaviour(vanished=True))
         self.deployment.start_upstream()
         self.assertEqual({'t1': TaskOutcome.LOST}, self.outcomes(1))
         self.entry.wait_until_accepting()
@@ -312,7 +314,7 @@
         self.addCleanup(deployment.stop)
         entry = deployment.entry
         entry.wait_until_accepting()
-        deployment.upstream.behave(Behaviour(vanished=True))
+        deployment.upstream.set_behaviour(Behaviour(vanished=True))
         server = ThreadingHTTPServer(('127.0.0.1', 0), _InvalidAnswerHandler)
         self.addCleanup(server.server_close)
         threading.Thread(target=server.serve_forever, daemon=True).start()
--- a/baobabgap/standin/_application.py
+++ b/baobabgap/standin/_application.py
@@ -75,7 +75,7 @@
                 self._sole_by_agent[agent_incarnation] = is_sole
                 self._bound_agent = agent_incarnation
 
-    def behave(self, behaviour: Behaviour) -> None:
+    def set_behaviour(self, behaviour: Behaviour) -> None:
         """Apply a behaviour from now on."""
         self._behaviour = behaviour
         if behaviour.frozen:
--- a/baobabgap/standin/_standin.py
+++ b/baobabgap/standin/_standin.py
@@ -33,7 +33,7 @@
 
         upstream = StandInUpstream.from_settings(settings)
         upstream.start()
-        upstream.behave(Behaviour(fails_every_task=True))
+        upstream.set_behaviour(Behaviour(fails_every_task=True))
         upstream.stop()
     """
 
@@ -43,7 +43,7 @@
         self.incarnation: Final = uuid.uuid4().hex
         self.leases: Final = LeaseTable(settings.stand_in.slots)
         self._application = StandInApplication(
-            self.incarnation, self.leases, self.behave
+            self.incarnation, self.leases, self.set_behaviour
         )
         self._server = WebServer(
             settings.listen.host,
@@ -89,7 +89,7 @@
         """Announce its departure, wait for running tasks, and stop."""
         if not self._stopping.is_set():
             self._stopping.set()
-            self._application.behave(Behaviour())
+            self._application.set_behaviour(Behaviour())
             self._announce_once(leaving=True)
             self._wait_for_running_tasks()
             self._server.stop()
@@ -100,9 +100,9 @@
         while self.leases.running and time.monotonic() < deadline:
             time.sleep(_DRAIN_POLL_INTERVAL_S)
 
-    def behave(self, behaviour: Behaviour) -> None:
+    def set_behaviour(self, behaviour: Behaviour) -> None:
         """Enable or disable faults."""
-        self._application.behave(behaviour)
+        self._application.set_behaviour(behaviour)
         if behaviour.vanished and not self._stopping.is_set():
             self._stopping.set()
             threading.Thread(target=self._server.stop, daemon=True).start()
--- a/baobabgap/standin/tests/test_standin.py
+++ b/baobabgap/standin/tests/test_standin.py
@@ -111,7 +111,9 @@
         self.assertEqual([['j', '1']], counts['started'])
 
     def test_a_forgetful_upstream_counts_duplicates(self) -> None:
-        self.upstream.behave(Behaviour(forgetful=True, answers_at_once=True))
+        self.upstream.set_behaviour(
+            Behaviour(forgetful=True, answers_at_once=True)
+        )
         self.assertEqual('done', self.end_state(self.start('j/1')))
         self.assertEqual('done', self.end_state(self.start('j/1')))
         self.assertEqual(1, self.upstream.counts()['duplicates'])
@@ -140,7 +142,7 @@
         self.control('stop', 'j/1')
 
     def test_an_ended_lease_is_listed_until_it_is_acknowledged(self) -> None:
-        self.upstream.behave(Behaviour(answers_at_once=True))
+        self.upstream.set_behaviour(Behaviour(answers_at_once=True))
         for name in ('j/1', 'j/2'):
             self.end_state(self.start(name))
         self.assertEqual({'j/1', 'j/2'}, self.listed_leases())
