--- a/baobabgap/dispatch/_control_node.py
+++ b/baobabgap/dispatch/_control_node.py
@@ -354,11 +354,11 @@
         try:
             for message in connection.messages():
                 if isinstance(message, JoinGroup):
-                    self._membership.add_candidate(
+                    self._membership.add_standby(
                         ControlHost(message.name, message.host, message.port)
                     )
         finally:
-            self._membership.remove_candidate(name)
+            self._membership.remove_standby(name)
 
     def _close_member_connections(self) -> None:
         with self._member_lock:
--- a/baobabgap/dispatch/_membership_manager.py
+++ b/baobabgap/dispatch/_membership_manager.py
@@ -15,10 +15,10 @@
 
 
 class MembershipManager:
-    """Adds candidate hosts to the group and replaces silent members.
+    """Adds standby hosts to the group and replaces silent members.
 
     The group has as many voters as are needed to tolerate the configured
-    number of failures. Further hosts stand by until a member has been
+    number of failures. Further hosts are standbys until a member has been
     silent for `silence_limit_s` seconds.
     """
 
@@ -29,19 +29,19 @@
         self._wanted_members: Final = wanted_members
         self._silence_limit_s: Final = silence_limit_s
         self._lock = threading.Lock()
-        self._candidate_by_name: dict[str, ControlHost] = {}
+        self._standby_by_name: dict[str, ControlHost] = {}
         self._leading_since: float | None = None
         self._stopping = threading.Event()
 
-    def add_candidate(self, host: ControlHost) -> None:
+    def add_standby(self, host: ControlHost) -> None:
         """Add a host that is ready to become a member."""
         with self._lock:
-            self._candidate_by_name[host.name] = host
+            self._standby_by_name[host.name] = host
 
-    def remove_candidate(self, name: str) -> None:
+    def remove_standby(self, name: str) -> None:
         """Remove a host that is no longer linked."""
         with self._lock:
-            self._candidate_by_name.pop(name, None)
+            self._standby_by_name.pop(name, None)
 
     def stop(self) -> None:
         """Stop the task."""
@@ -64,15 +64,15 @@
         members = self._log.status().members
         names = {member.name for member in members}
         with self._lock:
-            candidates = [
+            standbys = [
                 host
-                for name, host in self._candidate_by_name.items()
+                for name, host in self._standby_by_name.items()
                 if name not in names
             ]
-        if not candidates:
+        if not standbys:
             return
         if len(members) < self._wanted_members:
-            host = candidates[0]
+            host = standbys[0]
             log_event('member_added', member=host.name, address=host.address)
             self._log.add_member(host).result(_CHANGE_TIMEOUT_S)
             return
