--- a/baobabgap/entry/_entry.py
+++ b/baobabgap/entry/_entry.py
@@ -290,7 +290,7 @@
         self._dispatcher.acknowledge_results()
         self._dispatcher.fail_jobs_of_lost_agents(now)
         self._dispatcher.check_upstreams(now)
-        self._joins.give_up(now)
+        self._joins.expire(now)
         with self._dispatcher.lock:
             demand = self._quotas.report(now)
             if demand is not None:
--- a/baobabgap/entry/_joins.py
+++ b/baobabgap/entry/_joins.py
@@ -85,7 +85,7 @@
         else:
             join.future.set_result(message.answer)
 
-    def give_up(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Fail the joins whose owner has not reconnected in time."""
         with self._lock:
             expired = [
--- a/baobabgap/entry/tests/test_submissions.py
+++ b/baobabgap/entry/tests/test_submissions.py
@@ -89,7 +89,7 @@
         future = entry.submissions.submit(job(1), '')
         entry.control.settle_claim(ClaimStatus.OWNED)
         self.assertEqual([], agent.pop_sent(PlaceTasks))
-        entry.joins.give_up(time.monotonic() + 60)
+        entry.joins.expire(time.monotonic() + 60)
         failure = future.result(1).failure
         assert failure is not None
         self.assertEqual(
@@ -113,9 +113,9 @@
         entry.add_agent('a', 4)
         future = entry.submissions.submit(job(), '')
         entry.control.settle_claim(ClaimStatus.OWNED, 'entry-9')
-        entry.joins.give_up(time.monotonic())
+        entry.joins.expire(time.monotonic())
         self.assertFalse(future.done())
-        entry.joins.give_up(time.monotonic() + 60)
+        entry.joins.expire(time.monotonic() + 60)
         failure = future.result(1).failure
         assert failure is not None
         self.assertEqual('entry-9', failure.peer)
@@ -129,7 +129,7 @@
         future = entry.submissions.submit(job(), '')
         entry.control.settle_claim(ClaimStatus.OWNED, 'entry-2')
         self.assertEqual([], restarted.sent)
-        entry.joins.give_up(time.monotonic())
+        entry.joins.expire(time.monotonic())
         failure = future.result(1).failure
         assert failure is not None
         self.assertEqual(FailureCode.OWNER_LOST, failure.code)
--- a/baobabgap/leaderlink/_calls.py
+++ b/baobabgap/leaderlink/_calls.py
@@ -62,7 +62,7 @@
         self._numbers = itertools.count(1)
         self._pending_by_call: dict[int, _PendingCall] = {}
         self._connection: Connection | None = None
-        self._has_given_up = False
+        self._is_stopped = False
         # When the last link to a leader ended or the process started.
         self._unlinked_at = time.monotonic()
         # The last time that each volatile job was sent to a leader.
@@ -99,12 +99,12 @@
         finally:
             self._handle_lost_link(connection)
 
-    def give_up(self) -> None:
+    def stop(self) -> None:
         """Answer all present and future calls with `UNKNOWN`.
 
         Volatile jobs continue; their callers submit them again elsewhere.
         """
-        self._has_given_up = True
+        self._is_stopped = True
         with self._lock:
             self._connection = None
             pending = self._pop_pending(None)
@@ -153,7 +153,7 @@
                 # next one.
                 may_have_begun = True
                 give_up_at = time.monotonic() + _BEGUN_WAIT_S
-            if self._has_given_up or not _is_retryable(call, answer):
+            if self._is_stopped or not _is_retryable(call, answer):
                 return answer
             if time.monotonic() >= min(give_up_at, answer_by):
                 return answer
--- a/baobabgap/leaderlink/tests/test_calls.py
+++ b/baobabgap/leaderlink/tests/test_calls.py
@@ -147,7 +147,7 @@
         future = self.forward(VOLATILE)
         link.next_sent()
         began_at = time.monotonic()
-        self.calls.give_up()
+        self.calls.stop()
         self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
         self.assertLess(time.monotonic() - began_at, WAIT_S)
         self.assertTrue(link.sent.empty())
