--- a/baobabgap/control/_client.py
+++ b/baobabgap/control/_client.py
@@ -139,7 +139,7 @@
     def stop(self, *, leaving: bool = True) -> None:
         """Close the link and fail the requests that were not answered.
 
-        With `leaving`, the control group is told of the planned stop.
+        With `leaving`, the control group is notified of the planned stop.
         Otherwise it records the member as failed after a grace period.
         """
         self._stopping.set()
--- a/baobabgap/control/_sessions.py
+++ b/baobabgap/control/_sessions.py
@@ -180,7 +180,7 @@
                 session.connection.send(hint)
 
     def supersede(self, session: Session, incarnation: str) -> None:
-        """Tell a process that another one has joined under its name."""
+        """Notify a process that another one has joined under its name."""
         session.has_left = True
         session.connection.send(Superseded(incarnation))
 
--- a/baobabgap/entry/_active_job.py
+++ b/baobabgap/entry/_active_job.py
@@ -152,7 +152,7 @@
         return True
 
     def is_complete(self) -> bool:
-        """Tell whether every task has its value."""
+        """Return whether every task has its value."""
         return len(self.value_by_task) == len(self.submission.tasks)
 
     def build_answer(self) -> JobAnswer:
--- a/baobabgap/entry/_agent_links.py
+++ b/baobabgap/entry/_agent_links.py
@@ -29,7 +29,7 @@
         return True
 
     def is_current(self, link: Connection) -> bool:
-        """Tell whether this is the current link to its agent."""
+        """Return whether this is the current link to its agent."""
         return self._link_by_agent.get(link.peer.name) is link
 
     def send(self, agent: str, message: object) -> None:
--- a/baobabgap/entry/_entry.py
+++ b/baobabgap/entry/_entry.py
@@ -194,7 +194,7 @@
         return not self._draining.is_set()
 
     def is_ready(self) -> bool:
-        """Tell whether control and an upstream are available for jobs."""
+        """Return whether control and an upstream are available for jobs."""
         return (
             self.is_accepting()
             and not self._control.is_superseded
--- a/baobabgap/entry/_placer.py
+++ b/baobabgap/entry/_placer.py
@@ -46,7 +46,7 @@
         ] = {}
 
     def can_place(self, policy: Policy) -> bool:
-        """Tell whether any task can be placed now."""
+        """Return whether any task can be placed now."""
         if uses_tokens(policy):
             return self._pool.idle_tokens() > 0
         return len(self._pool) > 0
@@ -142,7 +142,7 @@
 
 
 def uses_tokens(policy: Policy) -> bool:
-    """Tell whether tasks wait at the entry rather than at the agents."""
+    """Return whether tasks wait at the entry rather than at the agents."""
     return policy.placement is PlacementPolicy.TOKENS
 
 
--- a/baobabgap/entry/_slow_upstream_detector.py
+++ b/baobabgap/entry/_slow_upstream_detector.py
@@ -32,7 +32,7 @@
         self._suspension_by_agent: dict[str, _Suspension] = {}
 
     def is_suspended(self, agent: str) -> bool:
-        """Tell whether the agent's upstream is suspended."""
+        """Return whether the agent's upstream is suspended."""
         return agent in self._suspension_by_agent
 
     def suspend_if_slow(
--- a/baobabgap/entry/_token_pool.py
+++ b/baobabgap/entry/_token_pool.py
@@ -164,7 +164,7 @@
         )
 
     def can_ever_hold(self, size: TaskSize) -> bool:
-        """Tell whether any connected upstream is large enough for a task."""
+        """Return whether any connected upstream is large enough for a task."""
         return any(
             size.fits_in(tokens.offer.capacity)
             for tokens in self._tokens_by_agent.values()
--- a/baobabgap/jobs/_answer.py
+++ b/baobabgap/jobs/_answer.py
@@ -83,5 +83,5 @@
 
     @property
     def has_all_values(self) -> bool:
-        """Tell whether the answer has every task's value."""
+        """Whether the answer has every task's value."""
         return self.failure is None
--- a/baobabgap/jobs/_submission.py
+++ b/baobabgap/jobs/_submission.py
@@ -38,7 +38,7 @@
     accelerators: Annotated[int, Field(ge=0, strict=True)] = 0
 
     def fits_in(self, other: 'TaskSize') -> bool:
-        """Tell whether a task of this size fits into `other`."""
+        """Return whether a task of this size fits into `other`."""
         return (
             self.processors <= other.processors
             and self.memory_mb <= other.memory_mb
--- a/baobabgap/replication/_changes.py
+++ b/baobabgap/replication/_changes.py
@@ -94,7 +94,7 @@
             self._state.run_later(lambda: fail_futures(futures, error))
 
     def _may_change(self) -> bool:
-        """Tell whether the leader may start a change.
+        """Return whether the leader may start a change.
 
         An entry of its own term and the last change must be committed.
         """
--- a/baobabgap/replication/_leadership_transfer.py
+++ b/baobabgap/replication/_leadership_transfer.py
@@ -23,7 +23,7 @@
         self._peers: Final = peers
 
     def run(self) -> bool:
-        """Transfer leadership; tell whether another host has become leader."""
+        """Transfer leadership; return whether another host became leader."""
         state = self._state
         with state.lock:
             target = self._most_up_to_date_peer()
@@ -45,7 +45,10 @@
         return False
 
     def _request_election(self, target: Peer) -> bool:
-        """Request an election if the peer has all entries; tell if so."""
+        """Request an election if the peer has all entries.
+
+        Returns whether it was requested.
+        """
         state = self._state
         if not state.is_leader:
             return False
--- a/baobabgap/replication/_log.py
+++ b/baobabgap/replication/_log.py
@@ -215,7 +215,7 @@
     def transfer_leadership(self) -> bool:
         """Transfer leadership to the most up-to-date peer.
 
-        Tells whether another host has become the leader.
+        Returns whether another host has become the leader.
         """
         return self._transfer.run()
 
--- a/baobabgap/replication/_membership.py
+++ b/baobabgap/replication/_membership.py
@@ -95,7 +95,7 @@
         return None
 
     def is_voting_store(self, name: str, store: str) -> bool:
-        """Tell whether this store of this host counts toward a quorum.
+        """Return whether this store of this host counts toward a quorum.
 
         A host that lost its disk returns with a new store. It must not
         count, since it has lost its votes and entries.
@@ -116,7 +116,7 @@
         return len(self.voters) // 2 + 1
 
     def has_quorum(self, names: Collection[str]) -> bool:
-        """Tell whether the named voters form a majority."""
+        """Return whether the named voters form a majority."""
         count = sum(1 for member in self.voters if member.name in names)
         return count >= self.quorum
 
--- a/baobabgap/replication/_outgoing_messages.py
+++ b/baobabgap/replication/_outgoing_messages.py
@@ -57,7 +57,7 @@
         )
 
     def needs_snapshot(self) -> bool:
-        """Tell whether entries that the peer lacks have been compacted."""
+        """Return whether entries that the peer lacks have been compacted."""
         if not self._state.is_leader or self.progress.snapshot:
             return False
         previous = self.progress.next_index - 1
@@ -75,7 +75,7 @@
         return max(_SHORTEST_PAUSE_S, due_at - time.monotonic())
 
     def has_pending(self) -> bool:
-        """Tell whether there may be a message to send after an answer."""
+        """Return whether there may be a message to send after an answer."""
         progress = self.progress
         return (
             progress.probing
@@ -102,7 +102,7 @@
         return None
 
     def _has_room(self) -> bool:
-        """Tell whether the peer may receive more entries before it answers.
+        """Return whether the peer may receive more entries before it answers.
 
         Entries appended while its disk is busy are sent together in the
         next message.
--- a/baobabgap/replication/_peers.py
+++ b/baobabgap/replication/_peers.py
@@ -117,7 +117,7 @@
         return names
 
     def _may_be_voting(self, peer: Peer) -> bool:
-        """Tell whether the peer is a voter, or may be one while offline.
+        """Return whether the peer is a voter, or may be one while offline.
 
         The store of a peer without a link is unknown; the peer counts
         until the election timeout since its last answer has expired.
--- a/baobabgap/replication/_reads.py
+++ b/baobabgap/replication/_reads.py
@@ -83,7 +83,7 @@
         state.applier_work.notify()
 
     def has_ready(self) -> bool:
-        """Tell whether a read can be completed; the lock is held."""
+        """Return whether a read can be completed; the lock is held."""
         applied = self._state.applied_index
         return any(read.index <= applied for read in self._confirmed)
 
--- a/baobabgap/replication/_state.py
+++ b/baobabgap/replication/_state.py
@@ -113,7 +113,7 @@
         return None if member is None else member.control_host
 
     def leader_is_recent(self) -> bool:
-        """Tell whether a leader sent a message in the election timeout."""
+        """Return whether a leader sent a message in the election timeout."""
         if self.is_leader:
             return True
         silent_s = time.monotonic() - self.leader_heard_at
--- a/baobabgap/replication/_window.py
+++ b/baobabgap/replication/_window.py
@@ -66,7 +66,7 @@
         return found
 
     def has_term_of(self, index: int) -> bool:
-        """Tell whether `term_at` accepts the index."""
+        """Return whether `term_at` accepts the index."""
         return self.compacted_index <= index <= self.last_index
 
     def term_at(self, index: int) -> int:
--- a/baobabgap/transport/_connection.py
+++ b/baobabgap/transport/_connection.py
@@ -107,7 +107,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether this side has closed or lost the link."""
+        """Whether this side has closed or lost the link."""
         return self._closed.is_set()
 
     def use_timing(self, timing: LinkTiming) -> None:
--- a/baobabgap/transport/_dialer.py
+++ b/baobabgap/transport/_dialer.py
@@ -74,7 +74,7 @@
 
     @property
     def is_connected(self) -> bool:
-        """Tell whether a link is open."""
+        """Whether a link is open."""
         return self._connection is not None
 
     def start(self) -> None:
@@ -98,7 +98,7 @@
             self._stopping.wait(delay_s * random.uniform(0.5, 1.0))
 
     def _run_once(self) -> bool:
-        """Run a session on one link; tell whether the link was opened."""
+        """Run a session on one link; return whether the link was opened."""
         opened = False
         try:
             connection = dial(
--- a/baobabgap/upstreams/_clock.py
+++ b/baobabgap/upstreams/_clock.py
@@ -57,7 +57,7 @@
         self._latest_lease_end_ms = max(self._latest_lease_end_ms, until_ms)
 
     def has_lapsed(self, now: float) -> bool:
-        """Tell whether every lease that was sent has certainly expired.
+        """Return whether every lease that was sent has certainly expired.
 
         Allows for a slow clock of the upstream and for the time that it
         takes to end runs.
--- a/baobabgap/web/_client.py
+++ b/baobabgap/web/_client.py
@@ -58,7 +58,7 @@
         self._curl.close()
 
     def is_closed_by_server(self) -> bool:
-        """Tell whether the server has closed the idle connection."""
+        """Return whether the server has closed the idle connection."""
         socket = self._curl.getinfo(pycurl.ACTIVESOCKET)
         if socket < 0:
             return False
--- a/baobabgap/web/_server.py
+++ b/baobabgap/web/_server.py
@@ -17,7 +17,7 @@
 _READ_TIMEOUT_S: Final = 30
 
 
-# The key in the WSGI environment of a function that tells whether the client
+# The key in the WSGI environment of a function that returns whether the client
 # has closed its connection.
 CLIENT_HAS_LEFT: Final = 'baobabgap.client_has_left'
 
