--- a/baobabgap/leaderlink/_calls.py
+++ b/baobabgap/leaderlink/_calls.py
@@ -120,13 +120,13 @@
         call: Call,
         wait_for_leader_s: float,
         wait_for_answer_s: float,
-        caller_has_left: Callable[[], bool],
+        is_caller_disconnected: Callable[[], bool],
     ) -> CallAnswer:
         """Forward a call and wait for its answer.
 
         `UNAVAILABLE` means that nothing was done; `UNKNOWN` that the call
         may have taken effect. A volatile job is dropped when its caller
-        has left or `wait_for_answer_s` seconds have passed.
+        has disconnected or `wait_for_answer_s` seconds have passed.
         """
         now = time.monotonic()
         answer_by = now + wait_for_answer_s
@@ -144,7 +144,9 @@
                     patience_ms=int(1000 * wait_for_answer_s),
                     is_repeat=may_have_begun,
                 )
-            answer = self._forward_once(call, answer_by, caller_has_left)
+            answer = self._forward_once(
+                call, answer_by, is_caller_disconnected
+            )
             if may_have_begun and answer.outcome in _NOT_BEGUN:
                 # The outcome holds for this try only.
                 answer = replace(answer, outcome=CallOutcome.UNKNOWN)
@@ -167,7 +169,7 @@
         self,
         call: Call,
         answer_by: float,
-        caller_has_left: Callable[[], bool],
+        is_caller_disconnected: Callable[[], bool],
     ) -> CallAnswer:
         number = next(self._numbers)
         future: Future[CallAnswer] = Future()
@@ -188,7 +190,7 @@
                     min(max(0.0, left_s), _CALLER_CHECK_INTERVAL_S)
                 )
             except TimeoutError:
-                if left_s > 0 and not caller_has_left():
+                if left_s > 0 and not is_caller_disconnected():
                     continue
             break
         with self._lock:
--- a/baobabgap/leaderlink/tests/test_calls.py
+++ b/baobabgap/leaderlink/tests/test_calls.py
@@ -73,14 +73,14 @@
         *,
         leader_s: float = 0.3,
         answer_s: float = WAIT_S,
-        caller_has_left: bool = False,
+        is_caller_disconnected: bool = False,
     ) -> Future[CallAnswer]:
         return self.pool.submit(
             self.calls.forward,
             call,
             leader_s,
             answer_s,
-            lambda: caller_has_left,
+            lambda: is_caller_disconnected,
         )
 
     def test_call_without_a_leader_is_unavailable(self) -> None:
@@ -133,10 +133,10 @@
         link.cut()
         self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
 
-    def test_job_is_dropped_when_its_caller_has_left(self) -> None:
+    def test_job_is_dropped_when_its_caller_disconnects(self) -> None:
         link = self.link()
         link.next_sent()
-        future = self.forward(VOLATILE, caller_has_left=True)
+        future = self.forward(VOLATILE, is_caller_disconnected=True)
         call = link.next_sent().call
         self.assertEqual(DropCall(call), link.next_sent())
         self.assertIs(CallOutcome.UNKNOWN, future.result(WAIT_S).outcome)
--- a/baobabgap/web/__init__.py
+++ b/baobabgap/web/__init__.py
@@ -3,11 +3,11 @@
 from baobabgap.web._client import RequestNeverSent
 from baobabgap.web._client import WebClient
 from baobabgap.web._client import WebResponse
-from baobabgap.web._server import CLIENT_HAS_LEFT
+from baobabgap.web._server import CLIENT_DISCONNECTED
 from baobabgap.web._server import WebServer
 
 __all__ = [
-    'CLIENT_HAS_LEFT',
+    'CLIENT_DISCONNECTED',
     'RequestNeverSent',
     'WebClient',
     'WebResponse',
--- a/baobabgap/web/_server.py
+++ b/baobabgap/web/_server.py
@@ -19,7 +19,7 @@
 
 # The key in the WSGI environment of a function that returns whether the client
 # has closed its connection.
-CLIENT_HAS_LEFT: Final = 'baobabgap.client_has_left'
+CLIENT_DISCONNECTED: Final = 'baobabgap.client_disconnected'
 
 
 class _Gateway(Gateway_10):
@@ -28,7 +28,9 @@
     def get_environ(self) -> Any:
         """Return the WSGI environment of one request."""
         environ = super().get_environ()  # type: ignore[no-untyped-call]
-        environ[CLIENT_HAS_LEFT] = _make_disconnect_check(self.req.conn.socket)
+        environ[CLIENT_DISCONNECTED] = _make_disconnect_check(
+            self.req.conn.socket
+        )
         return environ
 
 
