--- a/baobabgap/scheduling/__init__.py
+++ b/baobabgap/scheduling/__init__.py
@@ -20,6 +20,7 @@
 from baobabgap.scheduling._targets import PlacementTarget
 
 __all__ = [
+    'AdmissionInput',
     'admit',
     'Backlog',
     'choose_target',
@@ -27,12 +28,11 @@
     'JobPlan',
     'LATE_FACTOR',
     'Placement',
+    'PlacementTarget',
     'plan_starts',
     'PlannedTask',
-    'AdmissionInput',
     'Refusal',
     'retry_after',
-    'PlacementTarget',
     'RunTimes',
     'TargetHealth',
 ]
--- a/baobabgap/transport/__init__.py
+++ b/baobabgap/transport/__init__.py
@@ -9,9 +9,9 @@
 
 __all__ = [
     'Connection',
+    'dial',
     'Dialer',
     'LinkTiming',
     'Listener',
     'PROCESS_TRAFFIC',
-    'dial',
 ]
