--- a/baobabgap/control/_client.py
+++ b/baobabgap/control/_client.py
@@ -139,7 +139,7 @@
     def stop(self, *, leaving: bool = True) -> None:
         """Close the link and fail the requests that were not answered.
 
-        With `leaving`, the control group is told of the planned stop.
+        With `leaving`, the control group is notified of the planned stop.
         Otherwise it records the member as failed after a grace period.
         """
         self._stopping.set()
@@ -162,7 +162,7 @@
         self._send_pending()
         return future
 
-    def lookup(self, claim: Claim) -> Future[ClaimOutcome]:
+    def look_up(self, claim: Claim) -> Future[ClaimOutcome]:
         """Ask for the outcome that a claim would have now."""
         future = self._pending.add_claim(
             claim, self._settings.control.claim_wait_s, lookup_only=True
@@ -208,7 +208,7 @@
     def _send_pending(self) -> None:
         connection = self._connection
         if connection is not None and not connection.is_closed:
-            connection.send(*self._pending.take_messages())
+            connection.send(*self._pending.pop_messages())
 
     def _maintenance_loop(self) -> None:
         while not self._stopping.wait(_MAINTENANCE_INTERVAL_S):
--- a/baobabgap/leaderlink/_calls.py
+++ b/baobabgap/leaderlink/_calls.py
@@ -62,7 +62,7 @@
         self._numbers = itertools.count(1)
         self._pending_by_call: dict[int, _PendingCall] = {}
         self._connection: Connection | None = None
-        self._has_given_up = False
+        self._is_stopped = False
         # When the last link to a leader ended or the process started.
         self._unlinked_at = time.monotonic()
         # The last time that each volatile job was sent to a leader.
@@ -99,15 +99,15 @@
         finally:
             self._handle_lost_link(connection)
 
-    def give_up(self) -> None:
+    def stop(self) -> None:
         """Answer all present and future calls with `UNKNOWN`.
 
         Volatile jobs continue; their callers submit them again elsewhere.
         """
-        self._has_given_up = True
+        self._is_stopped = True
         with self._lock:
             self._connection = None
-            pending = self._take_pending(None)
+            pending = self._pop_pending(None)
         _resolve_unknown(pending, 'this entry stops')
 
     @property
@@ -115,18 +115,18 @@
         """The number of calls that wait for an answer."""
         return len(self._pending_by_call)
 
-    def ask(
+    def forward(
         self,
         call: Call,
         wait_for_leader_s: float,
         wait_for_answer_s: float,
-        caller_has_left: Callable[[], bool],
+        is_caller_disconnected: Callable[[], bool],
     ) -> CallAnswer:
         """Forward a call and wait for its answer.
 
         `UNAVAILABLE` means that nothing was done; `UNKNOWN` that the call
         may have taken effect. A volatile job is dropped when its caller
-        has left or `wait_for_answer_s` seconds have passed.
+        has disconnected or `wait_for_answer_s` seconds have passed.
         """
         now = time.monotonic()
         answer_by = now + wait_for_answer_s
@@ -144,7 +144,9 @@
                     patience_ms=int(1000 * wait_for_answer_s),
                     is_repeat=may_have_begun,
                 )
-            answer = self._ask_once(call, answer_by, caller_has_left)
+            answer = self._forward_once(
+                call, answer_by, is_caller_disconnected
+            )
             if may_have_begun and answer.outcome in _NOT_BEGUN:
                 # The outcome holds for this try only.
                 answer = replace(answer, outcome=CallOutcome.UNKNOWN)
@@ -153,7 +155,7 @@
                 # next one.
                 may_have_begun = True
                 give_up_at = time.monotonic() + _BEGUN_WAIT_S
-            if self._has_given_up or not _is_retryable(call, answer):
+            if self._is_stopped or not _is_retryable(call, answer):
                 return answer
             if time.monotonic() >= min(give_up_at, answer_by):
                 return answer
@@ -163,11 +165,11 @@
                 else _NO_LEADER_RETRY_INTERVAL_S
             )
 
-    def _ask_once(
+    def _forward_once(
         self,
         call: Call,
         answer_by: float,
-        caller_has_left: Callable[[], bool],
+        is_caller_disconnected: Callable[[], bool],
     ) -> CallAnswer:
         number = next(self._numbers)
         future: Future[CallAnswer] = Future()
@@ -188,7 +190,7 @@
                     min(max(0.0, left_s), _CALLER_CHECK_INTERVAL_S)
                 )
             except TimeoutError:
-                if left_s > 0 and not caller_has_left():
+                if left_s > 0 and not is_caller_disconnected():
                     continue
             break
         with self._lock:
@@ -230,10 +232,10 @@
             if self._connection is connection:
                 self._connection = None
                 self._unlinked_at = time.monotonic()
-            pending = self._take_pending(connection)
+            pending = self._pop_pending(connection)
         _resolve_unknown(pending, 'leader link lost')
 
-    def _take_pending(
+    def _pop_pending(
         self, connection: Connection | None
     ) -> dict[int, Future[CallAnswer]]:
         """Remove and return the calls of one link, or all if None.
--- a/tools/job_history/_callers.py
+++ b/tools/job_history/_callers.py
@@ -123,7 +123,7 @@
             case CancelPath():
                 self._points.report(InjectionPoint.CANCEL)
         asked_at = time.monotonic()
-        answer: CallAnswer = entry.ask(
+        answer: CallAnswer = entry.forward(
             call, _ANSWER_TIMEOUT_S, _ANSWER_TIMEOUT_S, lambda: False
         )
         self._history.add(
