--- a/baobabgap/dispatch/tests/test_dispatch.py
+++ b/baobabgap/dispatch/tests/test_dispatch.py
@@ -174,16 +174,14 @@
         self.assertGreater(answer.retry_after_ms, 0)
         deployment.cancel('long')
 
-    def test_hold_requests_are_short_without_a_leader(self) -> None:
-        """The next leader needs reports, which follow a `hold` request."""
+    def test_polls_are_short_without_a_leader(self) -> None:
+        """The next leader needs reports, which follow a poll."""
         deployment = self.deployment
         upstream = deployment.upstreams[0]
-        wait_until(lambda: upstream.last_wait_ms > 100, 'long hold requests')
+        wait_until(lambda: upstream.last_wait_ms > 100, 'long polls')
         for node in deployment.nodes:
             node.stop()
-        wait_until(
-            lambda: 0 < upstream.last_wait_ms <= 50, 'short hold requests'
-        )
+        wait_until(lambda: 0 < upstream.last_wait_ms <= 50, 'short polls')
 
     def test_older_configuration_is_ignored(self) -> None:
         self.deployment.configure(7)
